--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -127,9 +127,17 @@
   Say(ready ? Event::kReady : Event::kNotReady, settings_.node_name);
 }
 
+// The loop turns at least once a tick: a long way from one to the next says that the process stood still.
+void Node::NoticePause(Steady now) {
+  const Duration away = now - std::exchange(ticked_at_, now);
+  if (away < kPauseNoticed) return;
+  Say(Event::kProcessPaused, std::to_string(away / milliseconds(1)) + " ms");
+}
+
 void Node::KeepHouse() {
   const Steady now = Now();
   ++ticks_;
+  NoticePause(now);
   link_.KeepHouse();
   fleet_link_.Reap();
   if (core_) {
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -197,6 +197,7 @@
 
   // Life.
   void KeepHouse();
+  void NoticePause(Steady now);
   void LookAtSettings();
   void SetReady();
   void OnTerm();
@@ -265,6 +266,7 @@
   net::PrepareWatcher reap_;
   net::SignalWatcher term_, interrupt_, hang_up_;
   int ticks_ = 0;
+  Steady ticked_at_ = Now();
 };
 
 }  // namespace curlewdoor::system
--- a/src/system/node_directory.cpp
+++ b/src/system/node_directory.cpp
@@ -45,9 +45,14 @@
   told_hosts_ = directory_.version();
   if (core_ && !changed.empty()) Broadcast(Hosts{directory::Encode(changed, Now())});
   if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
-  for (const RequestId call : std::exchange(owed_beats_, {})) ReplyBeat(call);
+  const std::string holder = settings_.node_name + (had_majority_ ? "" : " without a majority");
+  for (const RequestId call : std::exchange(owed_beats_, {})) {
+    Say(Event::kLeaveAcknowledged, "held by " + holder);
+    ReplyBeat(call);
+  }
   if (owed_told_.empty()) return;
   const auto owed = std::exchange(owed_told_, {});
+  Say(Event::kLeaveHeld, holder);
   link_.ForEach([&](Link::Stream& stream) {
     for (const auto& [to, number] : owed)
       if (stream.number == to) stream.Send(Encode(Told{number}));
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -168,6 +168,7 @@
   if (it == tellings_.end() || !WentOn(it->second.streams, stream)) return;
   const RequestId call = it->second.call;
   tellings_.erase(it);
+  Say(Event::kLeaveAcknowledged, "held by " + stream.name);
   ReplyBeat(call);
 }
 
