--- a/src/systemkit/host.cpp
+++ b/src/systemkit/host.cpp
@@ -15,7 +15,6 @@
 
 constexpr double kBeatWithin_s = 1;
 constexpr double kNextGateway_s = 0.05;
-constexpr double kServesOn_s = 0.5;  // a little longer than drain_ms
 constexpr std::size_t kMostBeatAnswer = 4096;
 constexpr std::uint64_t kClosesEvery = 40;  // answers: one of them says that the connection ends
 
@@ -146,11 +145,15 @@
 
 void Host::Drain() {
   draining_ = true;
+  if (options_.deregisters_first) {
+    deregistered_ = true;
+    return Deregister();
+  }
   if (!beating_) Beat();
 }
 
 void Host::Beat() {
-  if (ended_ || beating_) return;
+  if (ended_ || beating_ || deregistered_) return;
   beating_ = true;
   const bool draining = draining_;
   const nlohmann::json body = {{"address", server_.address().ToText()},
@@ -163,7 +166,12 @@
                                 {{"oper_state", draining ? "draining" : "ready"},
                                  {"call_sequence", ++sequence_},
                                  {"warmup_left_ms", 0}}}};
-  Post("heartbeat", body.dump(), [this, draining](const Answer& answer) { OnBeaten(answer, draining); });
+  const auto post = [this, draining, text = body.dump()] {
+    Post("heartbeat", text, [this, draining](const Answer& answer) { OnBeaten(answer, draining); });
+  };
+  if (options_.beat_late_s <= 0 || draining) return post();
+  std::uniform_real_distribution<double> late(0, options_.beat_late_s);
+  pace_.After(late(random_), post);
 }
 
 void Host::OnBeaten(const Answer& answer, bool draining) {
@@ -184,23 +192,36 @@
   if (told.is_object() && told.contains("heartbeat_target") && told["heartbeat_target"].is_string())
     target_ = told["heartbeat_target"];
   if (draining && !drain_acknowledged_) {
-    drain_acknowledged_ = true;
-    sightings_.DrainAcknowledged(options_.instance, pace_.Now());
-    pace_.After(options_.drain_s + kServesOn_s, [this] { Deregister(); });
+    OnLeaveAcknowledged();
+    pace_.After(options_.drain_s + options_.serves_on_s, [this] {
+      deregistered_ = true;
+      Deregister();
+    });
   }
   again(draining_ && !draining ? 0 : options_.heartbeat_s);
 }
 
-void Host::Deregister() {
+void Host::OnLeaveAcknowledged() {
+  drain_acknowledged_ = true;
+  sightings_.DrainAcknowledged(options_.instance, pace_.Now());
+}
+
+void Host::End() {
   ended_ = true;
+  server_.StopListening();
+  server_.ResetAll();
+}
+
+void Host::Deregister() {
   Post("deregister", "{}", [this](const Answer& answer) {
     if (!answer.good()) {
       target_.clear();
       ++called_;
       return pace_.After(kNextGateway_s, [this] { Deregister(); });
     }
-    server_.StopListening();
-    server_.ResetAll();
+    if (!options_.deregisters_first) return End();
+    OnLeaveAcknowledged();
+    pace_.After(options_.drain_s + options_.serves_on_s, [this] { End(); });
   });
 }
 
--- a/src/systemkit/host.hpp
+++ b/src/systemkit/host.hpp
@@ -23,6 +23,9 @@
     int slots = 16, queue = 16;
     double work_least_s = 0.002, work_most_s = 0.02;
     double heartbeat_s = 0.4, drain_s = 2;
+    double serves_on_s = 0.5;        // beyond drain_s, from the acknowledgement to its end
+    bool deregisters_first = false;  // it never says `draining`: its first word of leaving is its last call
+    double beat_late_s = 0;          // a beat may be under way for so long before it reaches a gateway
     // A host in trouble: one in so many runs ends with a reset in place of its answer; one in so many answers
     // comes once more, late, in the place of the next on its connection. 0: none.
     std::uint64_t breaks_every = 0, doubles_every = 0;
@@ -35,7 +38,8 @@
   Host& operator=(const Host&) = delete;
 
   void Drain();  // says that it leaves, serves on for a while after the acknowledgement, deregisters and ends
-  bool acknowledged() const { return acknowledged_; }  // any beat
+  void CallFirst(std::size_t control) { called_ = control; }  // this one of `control`, while it has no target
+  bool acknowledged() const { return acknowledged_; }         // any beat
   bool drain_acknowledged() const { return drain_acknowledged_; }
   bool ended() const { return ended_; }
   int broken_off() const { return broken_off_; }
@@ -57,6 +61,8 @@
   void Beat();
   void OnBeaten(const Answer& answer, bool draining);
   void Deregister();
+  void OnLeaveAcknowledged();
+  void End();
   void Post(const std::string& call, const std::string& body, Calls::OnAnswer on_answer);
 
   Pace& pace_;
@@ -74,7 +80,7 @@
   std::size_t called_ = 0;  // of `control`, while it has no target
   std::string target_;
   bool beating_ = false, draining_ = false;
-  bool acknowledged_ = false, drain_acknowledged_ = false, ended_ = false;
+  bool acknowledged_ = false, drain_acknowledged_ = false, deregistered_ = false, ended_ = false;
   std::uint64_t beat_ = 0;  // the last one that is due
 };
 
--- a/src/systemkit/package.cmake
+++ b/src/systemkit/package.cmake
@@ -33,6 +33,18 @@
       add_test(NAME core_loss_${scenario} COMMAND core_loss_test --run_test=${scenario})
       set_tests_properties(core_loss_${scenario} PROPERTIES TIMEOUT 120 PROCESSORS 1)
     endforeach()
+    # Hosts that leave while machines are cut off, paused and killed; each scenario a test, as above.
+    add_executable(leave_test tests/system/leave_test.cpp)
+    target_link_libraries(leave_test PRIVATE curlewdoor_systemkit Boost::unit_test_framework)
+    target_compile_definitions(leave_test PRIVATE BOOST_TEST_DYN_LINK BOOST_TEST_MODULE=leave_test
+                                                  CURLEWDOOR_PROGRAM="$<TARGET_FILE:curlewdoor-system>")
+    add_dependencies(leave_test curlewdoor-system)
+    file(STRINGS tests/system/leave_test.cpp scenarios REGEX "^BOOST_AUTO_TEST_CASE")
+    foreach(scenario ${scenarios})
+      string(REGEX REPLACE "^BOOST_AUTO_TEST_CASE.([a-z0-9_]+).*" "\\1" scenario "${scenario}")
+      add_test(NAME leave_${scenario} COMMAND leave_test --run_test=${scenario})
+      set_tests_properties(leave_${scenario} PROPERTIES TIMEOUT 120 PROCESSORS 2)
+    endforeach()
     # Histories of the register, judged from outside; each scenario a test, as above.
     set(histories cut orders loss changes reset)
     list(TRANSFORM histories REPLACE "(.+)" "tests/system/history_\\1_test.cpp" OUTPUT_VARIABLE history_sources)
--- a/src/systemkit/world.cpp
+++ b/src/systemkit/world.cpp
@@ -77,6 +77,8 @@
 
 World::World(const Machines::Options& options, const Host::Options& like)
     : machines(options),
+      relays(options.relayed ? std::make_unique<Relays>(owner.loop, machines.ends(), machines.internal_port())
+                             : nullptr),
       pace(owner.loop),
       calls(owner.loop, pace),
       clients(owner.loop, pace, calls, sightings, machines),
@@ -86,7 +88,7 @@
 
 World::~World() { machines.Kill(machines.all()); }
 
-Host& World::AddHost(const std::string& service) {
+Host& World::AddHost(const std::string& service, const std::function<void(Host::Options&)>& adjust) {
   const auto number = static_cast<int>(hosts.size());
   Host::Options options = like_;
   options.service = service;
@@ -94,6 +96,7 @@
   options.ip = machines.StandInIp(number);
   options.heartbeat_s = heartbeat_ms_ / 1000.0;
   options.control = ControlOf(machines);
+  if (adjust) adjust(options);
   hosts.push_back(std::make_unique<Host>(owner.loop, pace, calls, sightings, std::move(options)));
   return *hosts.back();
 }
@@ -141,11 +144,17 @@
   const double ends = pace.Now() + within_s;
   while (!done()) {
     if (pace.Now() >= ends) return false;
+    OpenRelays();
     ev_run(owner.loop, EVRUN_ONCE);
   }
   return true;
 }
 
+void World::OpenRelays() {
+  if (relays == nullptr) return;
+  for (int m = 0; m < machines.count(); ++m) relays->SetOpen(m, machines.Running(m));
+}
+
 bool World::Settle() {
   clients.Stop();
   return Until([this] { return clients.open() == 0; }, kSettles_s);
--- a/src/systemkit/world.hpp
+++ b/src/systemkit/world.hpp
@@ -12,6 +12,7 @@
 #include "systemkit/machines.hpp"
 #include "systemkit/operator.hpp"
 #include "systemkit/pace.hpp"
+#include "systemkit/relays.hpp"
 #include "systemkit/sightings.hpp"
 
 namespace curlewdoor::systemkit {
@@ -49,7 +50,8 @@
   // Starts all machines for the first time, sends the first configuration and starts two hosts of each
   // service. True once every gateway is ready and each host is known.
   bool Start();
-  Host& AddHost(const std::string& service);
+  // `adjust` may change what the host is like; its service, name and address are the world's.
+  Host& AddHost(const std::string& service, const std::function<void(Host::Options&)>& adjust = {});
 
   // Plays on until `done`, for this long at most.
   bool Until(const std::function<bool()>& done, double within_s);
@@ -61,6 +63,7 @@
 
   LoopOwner owner;
   Machines machines;
+  std::unique_ptr<Relays> relays;  // between the machines, with Machines::Options::relayed
   Pace pace;
   Calls calls;
   Sightings sightings;
@@ -69,6 +72,8 @@
   Operator oper;
 
  private:
+  void OpenRelays();  // to the processes that run
+
   const int heartbeat_ms_;
   const Host::Options like_;
 };
