--- a/src/console/storage_commands.cpp
+++ b/src/console/storage_commands.cpp
@@ -13,6 +13,7 @@
 #include "console/table.hpp"
 #include "directory/codec.hpp"
 #include "policy/policy.hpp"
+#include "registry/record.hpp"
 #include "storage/inspect.hpp"
 #include "system/json.hpp"
 #include "util/number.hpp"
@@ -23,7 +24,8 @@
 using system::json::AddTo;
 using system::json::Document;
 
-constexpr std::string_view kLifeRecord = "life", kHostsRecord = "hosts", kGatewaysRecord = "gateways";
+constexpr std::string_view kLifeRecord = "life", kHostsRecord = "hosts", kGatewaysRecord = "gateways",
+                           kLeavesRecord = "leaves";
 constexpr std::size_t kLifeDigits = 16;
 constexpr char kLifeOfBootstrap = 'b';  // behind the digits
 
@@ -55,7 +57,16 @@
 
 using RecordsByKey = std::map<std::string, std::string, std::less<>>;
 
-// Throws for a record that is none of a core member's, and for hosts and gateways that can't be read.
+bool AreHosts(std::string_view bytes) {
+  return directory::Decode(bytes, std::chrono::steady_clock::now()).has_value();
+}
+
+bool AreLeaves(std::string_view bytes) {
+  const auto kept = registry::Decode(bytes);
+  return kept && AreHosts(kept->leaves);
+}
+
+// Throws for a record that is none of a core member's, and for hosts, leaves and gateways that can't be read.
 void CheckRecords(const std::string& directory, const RecordsByKey& records) {
   for (const auto& [key, bytes] : records) {
     if (key == kLifeRecord || key == agreement::kStateKey || key == agreement::kValueKey) continue;
@@ -65,8 +76,9 @@
       continue;
     }
     if (key == kHostsRecord) {
-      if (!directory::Decode(bytes, std::chrono::steady_clock::now()))
-        throw BadRecord(directory, "hosts: can't be read");
+      if (!AreHosts(bytes)) throw BadRecord(directory, "hosts: can't be read");
+    } else if (key == kLeavesRecord) {
+      if (!AreLeaves(bytes)) throw BadRecord(directory, "leaves: can't be read");
     } else if (key == kGatewaysRecord) {
       if (std::uint32_t gateways = 0; !ParseNumber(bytes, gateways))
         throw BadRecord(directory, "gateways: not a number");
--- a/src/directory/directory.hpp
+++ b/src/directory/directory.hpp
@@ -58,6 +58,9 @@
   }
 };
 
+// The host has said that it leaves, in either way.
+inline bool Leaves(const Entry& entry) { return entry.draining || entry.left; }
+
 // Something that others must know, or (kForgotten) that it is no longer listed.
 struct Event {
   enum class Kind : std::uint8_t { kNew, kChanged, kForgotten };
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -174,6 +174,8 @@
 // ---- What connections tell ----------------------------------------------------------------------------
 
 void Upstream::OnUp(Link& link) {
+  const auto* attempt = std::get_if<AttemptId>(&link.task);
+  if (attempt != nullptr && !dialect_.MaySend(*attempt)) return OnBroken(link);
   const std::string head = std::move(link.head), body = std::move(link.body);
   link.head.clear();
   link.body.clear();
--- /dev/null
+++ b/src/registry/record.cpp
@@ -0,0 +1,50 @@
+#include "registry/record.hpp"
+
+#include <cstdint>
+#include <exception>
+#include <msgpack.hpp>
+#include <tuple>
+#include <utility>
+#include <vector>
+
+namespace curlewdoor::registry {
+namespace {
+
+constexpr std::uint8_t kFormat = 1;
+using PackedMember = std::tuple<std::string, std::uint64_t>;
+// Format, epoch, complete epoch, the previous epoch and its members, leaves.
+using Packed = std::tuple<std::uint8_t, std::uint64_t, std::uint64_t, std::uint64_t,
+                          std::vector<PackedMember>, std::string>;
+
+}  // namespace
+
+std::string Encode(const KeptRegistry& kept) {
+  std::vector<PackedMember> members;
+  for (const MemberId& member : kept.record.previous.members)
+    members.emplace_back(member.name, member.incarnation);
+  msgpack::sbuffer buffer;
+  msgpack::pack(buffer, Packed{kFormat, kept.record.epoch, kept.record.complete_epoch,
+                               kept.record.previous.epoch, members, kept.leaves});
+  return {buffer.data(), buffer.size()};
+}
+
+std::optional<KeptRegistry> Decode(std::string_view bytes) {
+  try {
+    const msgpack::object_handle handle = msgpack::unpack(bytes.data(), bytes.size());
+    const msgpack::object& packed = handle.get();
+    if (packed.type != msgpack::type::ARRAY || packed.via.array.size < std::tuple_size_v<Packed>)
+      return std::nullopt;
+    auto [format, epoch, complete_epoch, previous, members, leaves] = packed.as<Packed>();
+    if (format != kFormat) return std::nullopt;
+    KeptRegistry kept;
+    kept.record = {epoch, complete_epoch, {previous, {}}};
+    for (const auto& [name, incarnation] : members)
+      kept.record.previous.members.push_back({name, incarnation});
+    kept.leaves = std::move(leaves);
+    return kept;
+  } catch (const std::exception&) {  // msgpack's own, and no memory
+    return std::nullopt;
+  }
+}
+
+}  // namespace curlewdoor::registry
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -65,12 +65,13 @@
 }  // namespace
 
 Front::Front(struct ev_loop* loop, const settings::NodeSettings& settings, net::Descriptors& descriptors,
-             std::uint64_t seed, AddToCount add, OffsetOf offset)
+             std::uint64_t seed, AddToCount add, OffsetOf offset, const registry::RegistryLease* registry)
     : Door(loop, descriptors, *this, kMostAhead),
       loop_(loop),
       settings_(settings),
       add_(std::move(add)),
       offset_(std::move(offset)),
+      registry_(registry),
       rng_(seed),
       upstream_settings_(UpstreamSettings(settings)),
       upstream_(loop, upstream_settings_, descriptors, *this, *this),
@@ -146,8 +147,9 @@
       const auto address = ParseAddress(entry.address);
       if (!address) continue;
       ids.emplace(entry.id, id);
-      known[id] = HostInfo{entry.id, name, *address};
-      if (entry.state != directory::HostState::kReady) {
+      const bool leaves = entry.state != directory::HostState::kReady;
+      known[id] = HostInfo{entry.id, name, *address, leaves};
+      if (leaves) {
         // What waits for a connection to it goes elsewhere: nothing new arrives there.
         upstream_.StopSendingTo(id, now);
         upstream_.CloseKeptTo(id);
@@ -310,7 +312,27 @@
   return it != request.service->means.end() ? it->second : kFirstMean;
 }
 
+// A host is chosen by a list that is proved now: after a pause, say, hosts may have left.
 void Front::Dispatch(Request& request) {
+  if (MaySendNow()) return Attempt(request);
+  ++figures_.waited;
+  // Those whose clients have left stay until a proof comes: no more of them than requests may be open.
+  if (waiting_.size() >= kMostRequests)
+    std::erase_if(waiting_, [this](RequestId id) { return !requests_.contains(id); });
+  waiting_.push_back(request.id);
+}
+
+void Front::SendWaiting() {
+  if (waiting_.empty() || !MaySendNow()) return;
+  Run([this] {
+    for (const RequestId id : std::exchange(waiting_, {})) {
+      const auto it = requests_.find(id);
+      if (it != requests_.end() && !it->second.course.out()) Attempt(it->second);
+    }
+  });
+}
+
+void Front::Attempt(Request& request) {
   const TimePoint now = Now();
   const auto host = request.service->chooser.Choose(now, request.tried);
   if (!host) {
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -22,6 +22,7 @@
 #include "net/uploads.hpp"
 #include "net/upstream.hpp"
 #include "policy/policy.hpp"
+#include "registry/lease.hpp"
 #include "settings/settings.hpp"
 #include "trying/attempt.hpp"
 #include "util/hash.hpp"
@@ -34,8 +35,10 @@
   using AddToCount = std::function<void(const std::string& tenant, const AddCount& call)>;
   using OffsetOf = std::function<Duration(const std::string& tenant)>;
 
+  // `registry`: by what list hosts are chosen, and whether requests may be sent by it; nullptr: always.
   Front(struct ev_loop* loop, const settings::NodeSettings& settings, net::Descriptors& descriptors,
-        std::uint64_t seed, AddToCount add, OffsetOf offset);
+        std::uint64_t seed, AddToCount add, OffsetOf offset,
+        const registry::RegistryLease* registry = nullptr);
   ~Front() override;
 
   // Only forward: an older version than the one in force changes nothing.
@@ -47,6 +50,8 @@
   bool SetGateways(int gateways, std::size_t index, std::size_t in_zone);
   // Of a tenant in force; nullptr: it isn't known.
   std::shared_ptr<const Plan> PlanOf(const std::string& tenant) const;
+  // Requests that wait for a proof of the list of hosts go on, if it has come or is done without.
+  void SendWaiting();
   void OnCount(const CountAnswered& answer);
   void CountLater(const CountAnswered& answer);  // the same from within AddToCount: from the loop
 
@@ -59,6 +64,11 @@
   struct Figures {
     std::uint64_t requests = 0, passed = 0, declined = 0, beyond_quota = 0, failed = 0, again = 0;
     std::uint64_t no_route = 0, no_key = 0, expired = 0, left = 0;
+    std::uint64_t waited = 0;    // for a proof of the list of hosts
+    std::uint64_t unproved = 0;  // attempts sent though it couldn't be had
+    // Attempts written to a host although the list says that it leaves, or is neither proved nor given up:
+    // never, whatever happens.
+    std::uint64_t written_to_leaving = 0;
   };
   const Figures& figures() const { return figures_; }
   std::uint64_t opened() const { return upstream_.opened(); }
@@ -97,6 +107,7 @@
   struct HostInfo {
     std::string instance, service;
     Address address;
+    bool leaves = false;
   };
 
   // Door.
@@ -125,6 +136,7 @@
   void OnBound(const AttemptId& attempt) override;
   // Dialect.
   std::initializer_list<std::string_view> Dropped() const override;
+  bool MaySend(const AttemptId& attempt) const override;
   void AppendLines(const AttemptId& attempt, Duration left, std::string& out) const override;
   net::Whose Belongs(const AttemptId& attempt, const http::Message& answer) const override;
   bool NotRun(const http::Message& answer) const override;
@@ -149,6 +161,9 @@
   void RefuseBody(Request& request);  // longer than its configuration allows
   void Begin(RequestId id);
   void Dispatch(Request& request);
+  void Attempt(Request& request);
+  bool MaySendNow() const { return registry_ == nullptr || registry_->MaySend(RegistryNow()); }
+  static registry::Time RegistryNow() { return std::chrono::steady_clock::now(); }
   void EndAttempt(Request& request, const trying::Ending& ending, const http::Message* answer);
   void Conclude(Request& request, Duration retry_after, int status);
   Duration ComeBack(const Request& request);
@@ -164,6 +179,7 @@
   const settings::NodeSettings settings_;
   const AddToCount add_;
   const std::function<Duration(const std::string&)> offset_;
+  const registry::RegistryLease* const registry_;
   std::mt19937_64 rng_;
   curlewdoor::Settings upstream_settings_;
   net::Upstream upstream_;
@@ -178,6 +194,7 @@
   std::unordered_map<HostId, HostInfo, IdHash> hosts_;
   std::uint64_t next_host_ = 1;
   std::unordered_map<RequestId, Request, IdHash> requests_;
+  std::deque<RequestId> waiting_;  // for a proof of the list of hosts; some may have ended
   std::set<std::pair<TimePoint, RequestId>> deadlines_;
   std::set<std::pair<TimePoint, std::uint64_t>> count_timers_;  // by token
   net::TimerWatcher timer_, count_timer_;
@@ -189,7 +206,7 @@
   const std::uint64_t salt_;
   const bool fresh_;
   net::ClientTimes times_;
-  Figures figures_;
+  mutable Figures figures_;  // the check at the write counts too
 };
 
 }  // namespace curlewdoor::system
--- a/src/system/front_dialect.cpp
+++ b/src/system/front_dialect.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <charconv>
 
+#include "events/events.hpp"
 #include "system/front.hpp"
 #include "system/headers.hpp"
 
@@ -19,10 +20,23 @@
 
 std::initializer_list<std::string_view> Front::Dropped() const { return kDropped; }
 
+// Asked as the request is written, on a connection that may have come up long after the host was chosen.
+bool Front::MaySend(const AttemptId& attempt) const {
+  const auto it = requests_.find(attempt.request);
+  if (it == requests_.end()) return false;
+  const auto host = hosts_.find(it->second.host);
+  return host != hosts_.end() && !host->second.leaves && MaySendNow();
+}
+
 void Front::AppendLines(const AttemptId& attempt, Duration left, std::string& out) const {
   const auto it = requests_.find(attempt.request);
   if (it == requests_.end()) return;
   const Request& request = it->second;
+  if (!MaySend(attempt)) {
+    ++figures_.written_to_leaving;
+    events::Say(events::Event::kWrittenToLeaving, request.instance);
+  }
+  if (registry_ != nullptr && !registry_->Proved(RegistryNow())) ++figures_.unproved;
   const auto line = [&](std::string_view name, std::string_view value) {
     out.append(name).append(": ").append(value).append("\r\n");
   };
--- a/src/system/message.cpp
+++ b/src/system/message.cpp
@@ -11,8 +11,10 @@
 auto Fields(Clock& m) { return std::tie(m.asked_us, m.told_us); }
 auto Fields(Hosts& m) { return std::tie(m.batch); }
 auto Fields(Refreshed& m) { return std::tie(m.beats); }
-auto Fields(Tell& m) { return std::tie(m.number, m.batch); }
-auto Fields(Told& m) { return std::tie(m.number); }
+auto Fields(ReplicateHosts& m) { return std::tie(m.number, m.batch); }
+auto Fields(HostsReplicated& m) {
+  return std::tie(m.number, m.incarnation, m.epoch, m.complete_epoch, m.votes);
+}
 auto Fields(Put& m) { return std::tie(m.number, m.version, m.text); }
 auto Fields(Get& m) { return std::tie(m.number); }
 auto Fields(Done& m) { return std::tie(m.number, m.status, m.body); }
@@ -33,6 +35,10 @@
 auto Fields(Fetched& m) {
   return std::tie(m.number, m.outcome, m.version, m.digest, m.size, m.offset, m.bytes);
 }
+auto Fields(RegistryQuery& m) { return std::tie(m.asked_us, m.epoch); }
+auto Fields(RegistryAnswer& m) {
+  return std::tie(m.asked_us, m.incarnation, m.epoch, m.complete_epoch, m.votes);
+}
 
 // Fields that an earlier version doesn't send: they keep what they begin with.
 template <typename Message>
@@ -41,6 +47,8 @@
 constexpr std::size_t kLater<Hello> = 1;
 template <>
 constexpr std::size_t kLater<Members> = 1;
+template <>
+constexpr std::size_t kLater<HostsReplicated> = 4;
 
 template <typename T>
 bool Sound(const T&) {
--- a/src/system/message.hpp
+++ b/src/system/message.hpp
@@ -36,12 +36,16 @@
 struct Refreshed {  // hosts that have beaten and said nothing new: id, sequence
   std::vector<std::pair<std::string, std::uint64_t>> beats;
 };
-struct Tell {  // the same as Hosts; owed: a Told once it has been passed on
+// The same as Hosts; owed: a HostsReplicated, once all that are reached have been sent it and, where a host
+// leaves, the disk holds it.
+struct ReplicateHosts {
   std::uint64_t number = 0;
   std::string batch;
 };
-struct Told {
+struct HostsReplicated {  // versions before 0.6 send the number alone: they don't vote
   std::uint64_t number = 0;
+  std::uint64_t incarnation = 0, epoch = 0, complete_epoch = 0;  // registry::Standing of the sender
+  bool votes = false;
 };
 struct Put {  // an operator's configuration, checked; owed: a Done
   std::uint64_t number = 0, version = 0;
@@ -116,10 +120,21 @@
   std::string bytes;
 };
 
+// Owed: a RegistryAnswer, behind all news of hosts that the member held when the question came.
+struct RegistryQuery {
+  std::int64_t asked_us = 0;  // by the asker's clock
+  std::uint64_t epoch = 0;    // that the asker knows: owed Members too, if it is an old one
+};
+struct RegistryAnswer {
+  std::int64_t asked_us = 0;
+  std::uint64_t incarnation = 0, epoch = 0, complete_epoch = 0;  // registry::Standing of the sender
+  bool votes = false;
+};
+
 // In the order of their numbers on the wire: new ones come behind.
-using Message =
-    std::variant<Hello, Clock, Hosts, Refreshed, Tell, Told, Put, Get, Done, Config, Members, AddUnits, Total,
-                 CoreBytes, Digest, AskHosts, FoundingBytes, Announce, Fetch, Fetched>;
+using Message = std::variant<Hello, Clock, Hosts, Refreshed, ReplicateHosts, HostsReplicated, Put, Get, Done,
+                             Config, Members, AddUnits, Total, CoreBytes, Digest, AskHosts, FoundingBytes,
+                             Announce, Fetch, Fetched, RegistryQuery, RegistryAnswer>;
 
 std::string Encode(const Message& message);
 std::optional<Message> Decode(std::string_view bytes);
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -42,11 +42,12 @@
                      Carry(out);
                    }),
       link_(loop, link_descriptors_, *this, LinkOptions(settings_), seed),
+      registry_lease_(registry::RegistryLease::OptionsFor(settings_.bounds.drain)),
       feed_(FeedOptions(settings_)),
       front_(
           loop, settings_, front_descriptors_, rng_(),
           [this](const std::string& tenant, const AddCount& call) { AddToCount(tenant, call); },
-          [this](const std::string& tenant) { return ClockOffset(tenant); }),
+          [this](const std::string& tenant) { return ClockOffset(tenant); }, &registry_lease_),
       control_(
           loop, link_descriptors_, [this](CallDoor::Call call) { OnCall(std::move(call)); }, kMostConfig),
       readiness_(
@@ -180,20 +181,7 @@
     }
   }
   for (const std::uint64_t number : over) Answer(number, 503, {});
-  over.clear();
-  for (auto& [number, telling] : tellings_) {
-    if (now >= telling.ends) {
-      over.push_back(number);
-    } else if (now >= telling.again) {  // the one that was told may be gone: to all
-      telling.again = telling.ends;
-      const auto streams = ToCore(Tell{number, telling.batch});
-      telling.streams.insert(telling.streams.end(), streams.begin(), streams.end());
-    }
-  }
-  for (const std::uint64_t number : over) {
-    control_.Reply(tellings_.at(number).call, 503);
-    tellings_.erase(number);
-  }
+  TickReplications();
   std::vector<CountName> unanswered;
   for (auto it = addings_.begin(); it != addings_.end();) {
     const bool late = now >= it->second.ends;
@@ -210,7 +198,9 @@
     events::SayLeftOut();
     ToCore(Clock{Microseconds(now)});
   }
-  if (told_hosts_ != directory_.version() || !owed_beats_.empty() || !owed_told_.empty()) PublishHosts();
+  if (told_hosts_ != directory_.version() || !owed_beats_.empty()) PublishHosts();
+  KeepLeaves();
+  TickLease();
   if (!leaving_) return;
   const auto since = now - term_at_;
   if (since >= kStopListening) front_.StopListening();
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -20,6 +20,8 @@
 #include "directory/directory.hpp"
 #include "fleet/machine.hpp"
 #include "net/fleet_link.hpp"
+#include "registry/lease.hpp"
+#include "registry/replica.hpp"
 #include "settings/settings.hpp"
 #include "storage/storage.hpp"
 #include "system/call_door.hpp"
@@ -57,11 +59,20 @@
     std::uint64_t stream = 0;            // that it was passed to last; 0: none
     std::vector<std::uint64_t> streams;  // all that it was passed to
   };
-  struct Telling {  // a beat that waits until it has been passed on
+  // A host's call that waits until other machines have what it said: any core member where it is news, a
+  // majority of them where the host leaves.
+  struct Replication {
     RequestId call;
+    std::string host;
+    bool leave = false;
     Steady ends, again;
     std::string batch;
-    std::vector<std::uint64_t> streams;  // that it was told on
+    std::vector<std::uint64_t> streams;  // that it went out on
+    registry::HolderVotes votes;
+  };
+  // An answer that is owed once the disk holds a leave; stream 0: to a replication of this process.
+  struct OwedVote {
+    std::uint64_t stream = 0, number = 0;
   };
   struct Adding {
     CountName name;
@@ -100,8 +111,6 @@
   void AskClock(Link::Stream& stream);
   void Take(Link::Stream& stream, Hosts& message);
   void Take(Link::Stream& stream, Refreshed& message);
-  void Take(Link::Stream& stream, Tell& message);
-  void Take(Link::Stream& stream, Told& message);
   void Take(Link::Stream& stream, Put& message);
   void Take(Link::Stream& stream, Get& message);
   void Take(Link::Stream& stream, Done& message);
@@ -132,7 +141,6 @@
   void Run(RequestId id, const ReportConfig& report);
   void Run(RequestId id, const ForgetMember& order);
   void ReplyReport(RequestId id, const std::string& json);
-  void TellHost(RequestId id, const std::string& host);
   void ReplyBeat(RequestId id);
   // Where the answer to a call goes that another gateway has passed on, or that came here.
   std::function<void(int, std::string)> AnswerTo(const Link::Stream& stream, std::uint64_t number);
@@ -142,11 +150,36 @@
   void Answer(std::uint64_t number, int status, std::string body);
 
   // Directory.
-  void MergeBatch(const std::string& batch);
+  enum class Merged {
+    kNotTaken,  // unreadable, or holds a leave that there was no room for
+    kNews,
+    kLeave  // and it is held now
+  };
+  Merged MergeBatch(const std::string& batch);
   // What has changed since the last time, at most once a tick: told on by the core, taken over by the front.
   // Then those are answered that wait for it.
   void PublishHosts();
   std::uint64_t HostsDigest() const;
+  void RelayLeaves(std::uint64_t after);
+
+  // Registry: what is acknowledged to hosts, and by which list requests are sent (node_registry.cpp).
+  void Take(Link::Stream& stream, ReplicateHosts& message);
+  void Take(Link::Stream& stream, HostsReplicated& message);
+  void Take(Link::Stream& stream, RegistryQuery& message);
+  void Take(Link::Stream& stream, RegistryAnswer& message);
+  void Replicate(RequestId id, const std::string& host, bool leave);
+  void TickReplications();
+  void SendAgain(std::uint64_t number, Replication& replication);
+  void ConsiderAcknowledged(std::uint64_t number);
+  void KeepLeaves();
+  void OnLeavesKept(bool ok);
+  void AnswerVotes(const std::vector<OwedVote>& owed);
+  std::string EncodeLeaves(const registry::ReplicaRecord& record) const;
+  void RestoreLeaves(const std::string& bytes);
+  void TickLease();
+  void OnProof();
+  registry::Roster RegistryRoster() const;
+  registry::Standing OwnStanding() const;
 
   // Core.
   void OpenCore();
@@ -242,11 +275,17 @@
   directory::ByService by_service_;
   std::uint64_t told_hosts_ = 0;  // of the directory's journal
   std::vector<std::pair<std::string, std::uint64_t>> refreshed_;
-  std::vector<RequestId> owed_beats_;                               // answered with the next news
-  std::vector<std::pair<std::uint64_t, std::uint64_t>> owed_told_;  // stream, number
+  std::vector<RequestId> owed_beats_;  // answered with the next news
+
+  registry::RegistryLease registry_lease_;
+  std::optional<registry::RegistryReplica> registry_replica_;  // of a process with a core
+  std::vector<OwedVote> owed_votes_, votes_being_kept_;        // the latter: with the write under way
+  std::optional<registry::ReplicaRecord> record_being_kept_;   // of the write under way
+  bool registry_proved_ = false;                               // as the log says
+  std::uint64_t leaves_acknowledged_ = 0, leaves_not_acknowledged_ = 0;
 
   std::unordered_map<std::uint64_t, Pending> pending_;
-  std::unordered_map<std::uint64_t, Telling> tellings_;
+  std::unordered_map<std::uint64_t, Replication> replications_;
   std::unordered_map<std::uint64_t, Adding> addings_;
   std::uint64_t next_number_ = rng_();  // no two processes begin alike
   counting::HeldCounts counts_{settings_.bounds.quota_slack};
--- a/src/system/node_calls.cpp
+++ b/src/system/node_calls.cpp
@@ -2,7 +2,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "directory/codec.hpp"
 #include "system/node.hpp"
 #include "system/node_limits.hpp"
 
@@ -29,26 +28,12 @@
     if (refreshed_.size() < kMostRefreshed) refreshed_.emplace_back(beat.id, beat.sequence);
     return ReplyBeat(id);
   }
-  TellHost(id, beat.id);
+  Replicate(id, beat.id, beat.draining);
 }
 
 void Node::Run(RequestId id, const directory::Leave& leave) {
   directory_.Apply(Now(), leave);
-  TellHost(id, leave.id);
-}
-
-// Acknowledged once a core member has passed it on: every gateway in touch has it on its way then.
-void Node::TellHost(RequestId id, const std::string& host) {
-  const auto* entry = directory_.Find(host);
-  if (entry == nullptr || tellings_.size() + owed_beats_.size() >= kMostTellings)
-    return control_.Reply(id, 503);
-  if (core_ && had_majority_) return owed_beats_.push_back(id);
-  Link::Stream* near = NearCore();
-  if (near == nullptr) return control_.Reply(id, 503);
-  const std::uint64_t number = next_number_++;
-  Telling& telling = tellings_[number];
-  telling = {id, Now() + kTellEnds, Now() + kTellAgain, directory::Encode({*entry}, Now()), {near->number}};
-  near->Send(Encode(Tell{number, telling.batch}));
+  Replicate(id, leave.id, true);
 }
 
 void Node::Run(RequestId id, directory::PutConfig& put) {
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -97,6 +97,12 @@
   storage_io_ = std::make_unique<net::IoWatcher>(loop_, [this](int) { OnStorage(); });
   storage_io_->Want(storage_->fd(), EV_READ);
   OpenFounding(std::move(founding));
+  record_being_kept_.reset();
+  votes_being_kept_.clear();
+  registry_replica_.emplace(registry::MemberId{settings_.node_name, disk_});
+  if (const auto leaves = known && read ? storage_->Read(kLeavesKey) : std::nullopt) RestoreLeaves(*leaves);
+  registry_replica_->Adopt(Now(), RegistryRoster());
+  registry_lease_.SetRoster(RegistryRoster());
 }
 
 std::vector<Node::CoreMember> Node::RosterOfCore() const {
@@ -141,6 +147,10 @@
       keeping_hosts_ = false;
       continue;
     }
+    if (result.id == kLeavesWrite) {
+      OnLeavesKept(result.ok);
+      continue;
+    }
     if (result.id == kFoundingWrite) {
       founding_->OnWritten(result.ok);
       continue;
@@ -256,6 +266,8 @@
   if (epoch <= epoch_) return;
   epoch_ = epoch;
   members_ = std::move(members);
+  registry_lease_.SetRoster(RegistryRoster());
+  if (registry_replica_) registry_replica_->Adopt(Now(), RegistryRoster());
   if (founding_) founding_->StopProposing();
   std::string names;
   for (const CoreMember& member : members_) names += " " + member.name;
--- a/src/system/node_directory.cpp
+++ b/src/system/node_directory.cpp
@@ -1,4 +1,5 @@
 // Node: the service registry, its digest and its news.
+#include <algorithm>
 #include <map>
 #include <utility>
 
@@ -9,10 +10,36 @@
 
 namespace curlewdoor::system {
 
-void Node::MergeBatch(const std::string& batch) {
+Node::Merged Node::MergeBatch(const std::string& batch) {
   const auto entries = directory::Decode(batch, Now());
-  if (!entries) return Say(Event::kMessageRefused, "hosts");
-  for (const directory::Entry& entry : *entries) directory_.Merge(Now(), entry);
+  if (!entries) {
+    Say(Event::kMessageRefused, "hosts");
+    return Merged::kNotTaken;
+  }
+  Merged merged = Merged::kNews;
+  for (const directory::Entry& entry : *entries) {
+    directory_.Merge(Now(), entry);
+    if (!directory::Leaves(entry)) continue;
+    const auto* held = directory_.Find(entry.id);
+    const bool long_gone = held == nullptr && Now() - entry.since >= directory::kKeepGone;
+    if (held == nullptr && !long_gone) return Merged::kNotTaken;
+    merged = Merged::kLeave;
+  }
+  return merged;
+}
+
+// To all that want news from here: the leaves among what has changed after that event of the journal.
+void Node::RelayLeaves(std::uint64_t after) {
+  if (!core_ || directory_.version() == after) return;
+  std::vector<directory::Entry> leaves;
+  if (const auto events = directory_.journal().Since(after)) {
+    for (const directory::Event& event : *events)
+      if (event.kind != directory::Event::Kind::kForgotten && directory::Leaves(event.entry))
+        leaves.push_back(event.entry);
+  } else {
+    leaves = directory_.All();
+  }
+  if (!leaves.empty()) Broadcast(Hosts{directory::Encode(leaves, Now())});
 }
 
 std::uint64_t Node::HostsDigest() const {
@@ -45,18 +72,7 @@
   told_hosts_ = directory_.version();
   if (core_ && !changed.empty()) Broadcast(Hosts{directory::Encode(changed, Now())});
   if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
-  const std::string holder = settings_.node_name + (had_majority_ ? "" : " without a majority");
-  for (const RequestId call : std::exchange(owed_beats_, {})) {
-    Say(Event::kLeaveAcknowledged, "held by " + holder);
-    ReplyBeat(call);
-  }
-  if (owed_told_.empty()) return;
-  const auto owed = std::exchange(owed_told_, {});
-  Say(Event::kLeaveHeld, holder);
-  link_.ForEach([&](Link::Stream& stream) {
-    for (const auto& [to, number] : owed)
-      if (stream.number == to) stream.Send(Encode(Told{number}));
-  });
+  for (const RequestId call : std::exchange(owed_beats_, {})) ReplyBeat(call);
 }
 
 }  // namespace curlewdoor::system
--- a/src/system/node_limits.hpp
+++ b/src/system/node_limits.hpp
@@ -28,18 +28,19 @@
 inline constexpr std::size_t kMostInMemory = 9;      // members of a core without disks
 inline constexpr milliseconds kTick{50};
 inline constexpr milliseconds kPauseNoticed{1000};  // from one tick to the next
-inline constexpr milliseconds kProbe{500};  // of the fleet's view
-inline constexpr int kRefreshTicks = 6;     // beats that say nothing new are told together
+inline constexpr milliseconds kProbe{500};          // of the fleet's view
+inline constexpr int kRefreshTicks = 6;             // beats that say nothing new are told together
 inline constexpr int kSecondTicks = 20;
 inline constexpr milliseconds kCallEnds{900};   // operators and hosts go elsewhere after a second of silence
 inline constexpr milliseconds kPassAgain{300};  // then another core member is asked
-inline constexpr milliseconds kTellEnds{700};
-inline constexpr milliseconds kTellAgain{200};  // then all core members are told
-inline constexpr int kMostStrayed = 2;          // digests in a row: news may just be on its way
+inline constexpr milliseconds kReplicationEnds{700};
+inline constexpr milliseconds kReplicateAgain{
+    200};                               // then core members that haven't answered are sent it again
+inline constexpr int kMostStrayed = 2;  // digests in a row: news may just be on its way
 inline constexpr milliseconds kAddEnds{400};
 inline constexpr milliseconds kMostAstray{
     200};  // of a gateway's idea of a holder's clock, its message's way included
-inline constexpr std::size_t kMostPending = 256, kMostTellings = 1024, kMostAddings = 4096;
+inline constexpr std::size_t kMostPending = 256, kMostReplications = 1024, kMostAddings = 4096;
 inline constexpr std::size_t kMostPendingText = 32 * 1024 * 1024;  // of all orders that wait
 inline constexpr double kSilentBeats = 3.5;                        // a host that has missed so many is silent
 inline constexpr milliseconds kStopListening{
@@ -51,11 +52,13 @@
 inline constexpr milliseconds kApplyPause{250};
 inline constexpr seconds kContactFresh{3};      // a gateway without proof for so long looks further
 inline constexpr double kFeedLinkShare = 0.25;  // of a gateway's link, for configurations
-inline constexpr char kHostsKey[] = "hosts", kGatewaysKey[] = "gateways";
+inline constexpr char kHostsKey[] = "hosts", kGatewaysKey[] = "gateways", kLeavesKey[] = "leaves";
 inline constexpr seconds kGatherAtMost{10};  // by then a view is as whole as it gets
 inline constexpr int kMostGateways = 10'000;
 inline constexpr std::uint64_t kHostsWrite = ~std::uint64_t{0};  // never an id of the agreement's writes
 inline constexpr std::uint64_t kFoundingWrite = kHostsWrite - 1;
+inline constexpr std::uint64_t kLeavesWrite = kHostsWrite - 2;
+inline constexpr std::size_t kMostOwedVotes = 4096;
 inline constexpr int kReserved = 300;  // descriptors: files, the loop's own, what the platform keeps
 
 inline std::int64_t StampOf(const std::string& path) {
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -114,11 +114,17 @@
     known = {offset, round_trip, now};
 }
 
-// What a core member tells it tells to all: it isn't told on once more.
+// What a core member tells it tells to all: it isn't told on once more, but for leaves. A member's answers
+// vouch for all the leaves that it holds, so whoever it answers must have been sent them by itself.
 void Node::Take(Link::Stream& stream, Hosts& message) {
-  if (stream.dialled() && stream.counted && told_hosts_ != directory_.version()) PublishHosts();
-  MergeBatch(message.batch);
-  if (!stream.dialled() || !stream.counted) return;
+  const bool from_core = stream.dialled() && stream.counted;
+  if (from_core && told_hosts_ != directory_.version()) PublishHosts();
+  const std::uint64_t before = directory_.version();
+  const Merged merged = MergeBatch(message.batch);
+  if (!from_core) return;
+  // An answer on this stream would prove a list that lacks this: it begins anew, with all that there is.
+  if (merged == Merged::kNotTaken) return stream.Close();
+  RelayLeaves(before);
   told_hosts_ = directory_.version();
   if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
 }
@@ -132,11 +138,6 @@
   }
 }
 
-void Node::Take(Link::Stream& stream, Tell& message) {
-  MergeBatch(message.batch);
-  owed_told_.emplace_back(stream.number, message.number);
-}
-
 void Node::Take(Link::Stream& stream, Digest& message) {
   stream.strayed = message.hosts == HostsDigest() ? 0 : stream.strayed + 1;
   if (stream.strayed < kMostStrayed) return;
@@ -163,15 +164,6 @@
   return best;
 }
 
-void Node::Take(Link::Stream& stream, Told& message) {
-  const auto it = tellings_.find(message.number);
-  if (it == tellings_.end() || !WentOn(it->second.streams, stream)) return;
-  const RequestId call = it->second.call;
-  tellings_.erase(it);
-  Say(Event::kLeaveAcknowledged, "held by " + stream.name);
-  ReplyBeat(call);
-}
-
 std::function<void(int, std::string)> Node::AnswerTo(const Link::Stream& stream, std::uint64_t number) {
   return [this, number, from = stream.number](int status, const std::string& body) {
     link_.ForEach([&](Link::Stream& each) {
--- a/src/system/package.cmake
+++ b/src/system/package.cmake
@@ -7,12 +7,12 @@
                                    src/system/node_core.cpp src/system/node_count.cpp
                                    src/system/node_directory.cpp src/system/node_feed.cpp
                                    src/system/node_membership.cpp
-                                   src/system/node_messages.cpp
+                                   src/system/node_messages.cpp src/system/node_registry.cpp
                                    src/system/report.cpp src/util/text_delta.cpp)
 target_include_directories(curlewdoor_node SYSTEM PRIVATE ${MSGPACK})
 target_compile_definitions(curlewdoor_node PRIVATE MSGPACK_NO_BOOST)
 target_link_libraries(curlewdoor_node PUBLIC curlewdoor_net curlewdoor_settings curlewdoor_events curlewdoor_policy
-                                             curlewdoor_directory curlewdoor_agreement curlewdoor_storage
+                                             curlewdoor_directory curlewdoor_registry curlewdoor_agreement curlewdoor_storage
                                              curlewdoor_choosing curlewdoor_trying curlewdoor_fleet
                                       PRIVATE ${CJSON})
 
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -314,6 +314,19 @@
   page.Counter("no_key_total", figures.no_key, "Answered 401.");
   page.Counter("expired_total", figures.expired, "Requests whose time was up.");
   page.Counter("left_total", figures.left, "Clients that left before their answer.");
+  page.Counter("waited_for_registry_total", figures.waited,
+               "Requests that waited for a proof of the list of hosts.");
+  page.Counter("sent_unproved_total", figures.unproved,
+               "Attempts sent by a list of hosts that no majority proved.");
+  page.Counter(
+      "written_to_leaving_total", figures.written_to_leaving,
+      "Attempts written to a host that leaves, or by a list neither proved nor done without: never.");
+  page.Counter("leaves_acknowledged_total", leaves_acknowledged_, "Leaves of hosts that a majority holds.");
+  page.Counter("leaves_not_acknowledged_total", leaves_not_acknowledged_,
+               "Leaves that no majority held in time; the hosts go on to another gateway.");
+  if (const auto list_age = registry_lease_.Age(Now()))
+    page.Gauge("registry_proof_age_seconds", WholeSeconds(*list_age),
+               "Since the question by which a majority last proved the list of hosts.");
   page.Counter("accepted_total", door.accepted, "Connections taken from clients.");
   page.Counter("shed_total", door.shed, "Connections turned away or closed for lack of descriptors.");
   page.Gauge("open_requests", front_.open_requests(), "Requests that wait for their answer.");
--- a/src/systemkit/package.cmake
+++ b/src/systemkit/package.cmake
@@ -45,6 +45,13 @@
       add_test(NAME leave_${scenario} COMMAND leave_test --run_test=${scenario})
       set_tests_properties(leave_${scenario} PROPERTIES TIMEOUT 120 PROCESSORS 2)
     endforeach()
+    add_executable(leave_soak_test tests/system/leave_soak_test.cpp)
+    target_link_libraries(leave_soak_test PRIVATE curlewdoor_systemkit Boost::unit_test_framework)
+    target_compile_definitions(leave_soak_test PRIVATE BOOST_TEST_DYN_LINK BOOST_TEST_MODULE=leave_soak_test
+                                                       CURLEWDOOR_PROGRAM="$<TARGET_FILE:curlewdoor-system>")
+    add_dependencies(leave_soak_test curlewdoor-system)
+    add_test(NAME leave_soak COMMAND leave_soak_test --log_level=message)
+    set_tests_properties(leave_soak PROPERTIES TIMEOUT 180 PROCESSORS 2)
     # Histories of the register, judged from outside; each scenario a test, as above.
     set(histories cut orders loss changes reset)
     list(TRANSFORM histories REPLACE "(.+)" "tests/system/history_\\1_test.cpp" OUTPUT_VARIABLE history_sources)
--- a/src/systemkit/sightings.hpp
+++ b/src/systemkit/sightings.hpp
@@ -39,6 +39,9 @@
   const std::vector<Run>& runs() const { return runs_; }
   void DrainAcknowledged(const std::string& instance, double at) { drained_.emplace(instance, at); }
 
+  // When each host's leave was acknowledged.
+  const std::map<std::string, double>& drained() const { return drained_; }
+
   // One line each; empty: all was kept.
   std::vector<std::string> Breaches() const;
   // Requests that a gateway that was told to end at `from` had read, and that ended without an answer.
--- /dev/null
+++ b/tests/registry/registry_test.cpp
@@ -0,0 +1,210 @@
+// Votes, proofs of a gateway's list, and who may vote: one by one. Together: registry_search_test.
+#include <boost/test/unit_test.hpp>
+
+#include "registry/lease.hpp"
+#include "registry/record.hpp"
+#include "registry/replica.hpp"
+
+namespace curlewdoor::registry {
+namespace {
+
+using namespace std::chrono_literals;
+
+const Time kStart{std::chrono::hours(1000)};
+const MemberId kA{"a", 1}, kB{"b", 2}, kC{"c", 3}, kD{"d", 4};
+
+Standing Voting(const MemberId& member, std::uint64_t epoch = 1) { return {member, epoch, epoch, true}; }
+
+BOOST_AUTO_TEST_CASE(a_leave_is_chosen_by_a_majority_of_one_epoch) {
+  const Roster first{1, {kA, kB, kC}}, second{2, {kB, kC, kD}};
+  HolderVotes votes;
+  BOOST_TEST(!votes.Chosen(first));
+  votes.Add(kA, 1);
+  votes.Add(kA, 1);
+  BOOST_TEST(!votes.Chosen(first));
+  votes.Add(kD, 1);         // no member of that epoch
+  votes.Add({"b", 99}, 1);  // another incarnation of one
+  votes.Add(kB, 2);         // of another epoch
+  BOOST_TEST(!votes.Chosen(first));
+  BOOST_TEST(!votes.Chosen(second));
+  votes.Add(kC, 2);
+  BOOST_TEST(votes.Chosen(second));
+  BOOST_TEST(!votes.Chosen(first));
+  BOOST_TEST(!votes.Chosen({0, {}}));
+  BOOST_TEST(votes.Voted("b", 2));
+  BOOST_TEST(!votes.Voted("c", 1));
+}
+
+struct Gateway {
+  RegistryLease lease{RegistryLease::OptionsFor(2s)};
+  Time now = kStart;
+
+  Gateway() { lease.SetRoster({1, {kA, kB, kC}}); }
+  // Runs on, asking when it is due; these answer at once.
+  void Run(Duration for_so_long, const std::vector<MemberId>& answering) {
+    for (const Time ends = now + for_so_long; now < ends; now += 50ms) {
+      if (!lease.Tick(now)) continue;
+      lease.Asked(now);
+      for (const MemberId& member : answering) lease.OnAnswer(now, now, Voting(member));
+    }
+  }
+};
+
+BOOST_AUTO_TEST_CASE(a_list_is_proved_by_a_majority_and_for_less_than_the_drain) {
+  Gateway gateway;
+  BOOST_TEST(!gateway.lease.MaySend(gateway.now));
+  gateway.Run(1s, {kA});
+  BOOST_TEST(!gateway.lease.Proved(gateway.now));
+  gateway.Run(1s, {kA, kC});
+  BOOST_TEST(gateway.lease.Proved(gateway.now));
+  BOOST_TEST(gateway.lease.Proved(gateway.now + 600ms));
+  BOOST_TEST(!gateway.lease.Proved(gateway.now + 1300ms));  // however the time has passed
+}
+
+BOOST_AUTO_TEST_CASE(after_a_pause_nothing_is_sent_before_a_proof) {
+  Gateway gateway;
+  gateway.Run(2s, {kA, kB, kC});
+  gateway.now += 5s;
+  BOOST_TEST(!gateway.lease.MaySend(gateway.now));
+  gateway.Run(50ms, {kA, kB});
+  BOOST_TEST(gateway.lease.Proved(gateway.now));
+}
+
+BOOST_AUTO_TEST_CASE(an_answer_proves_as_of_its_question) {
+  Gateway gateway;
+  gateway.Run(2s, {kA, kB, kC});
+  const Time asked = gateway.now;
+  gateway.now += 5s;
+  for (const MemberId& member : {kA, kB, kC}) gateway.lease.OnAnswer(gateway.now, asked, Voting(member));
+  BOOST_TEST(!gateway.lease.MaySend(gateway.now));
+  gateway.lease.OnAnswer(gateway.now, gateway.now + 1s, Voting(kA));  // of no question of ours
+  gateway.lease.OnAnswer(gateway.now, gateway.now + 1s, Voting(kB));
+  BOOST_TEST(!gateway.lease.Proved(gateway.now + 1s));
+}
+
+BOOST_AUTO_TEST_CASE(without_a_core_it_is_done_without_and_a_pause_asks_anew) {
+  Gateway gateway;
+  gateway.Run(2s, {kA, kB});
+  gateway.Run(1s, {});
+  BOOST_TEST(gateway.lease.MaySend(gateway.now));  // proved still
+  gateway.Run(1s, {kC});
+  BOOST_TEST(!gateway.lease.Proved(gateway.now));
+  BOOST_TEST(gateway.lease.MaySend(gateway.now));
+  gateway.now += 3s;
+  BOOST_TEST(!gateway.lease.MaySend(gateway.now));
+  gateway.Run(100ms, {});
+  BOOST_TEST(!gateway.lease.MaySend(gateway.now));
+  gateway.Run(1s, {});
+  BOOST_TEST(gateway.lease.MaySend(gateway.now));
+  gateway.Run(1s, {kB, kC});
+  BOOST_TEST(gateway.lease.Proved(gateway.now));
+}
+
+BOOST_AUTO_TEST_CASE(only_votes_of_the_epoch_count) {
+  Gateway gateway;
+  Standing silent = Voting(kA);
+  silent.votes = false;
+  gateway.lease.Asked(gateway.now);
+  gateway.lease.OnAnswer(gateway.now, gateway.now, silent);
+  gateway.lease.OnAnswer(gateway.now, gateway.now, Voting(kB, 2));
+  gateway.lease.OnAnswer(gateway.now, gateway.now, Voting(kC));
+  gateway.lease.OnAnswer(gateway.now, gateway.now, Voting(kD));
+  BOOST_TEST(!gateway.lease.Proved(gateway.now));
+  gateway.lease.SetRoster({2, {kB, kC, kD}});
+  gateway.lease.OnAnswer(gateway.now, gateway.now, Voting(kC, 2));
+  BOOST_TEST(!gateway.lease.Proved(gateway.now));
+  gateway.lease.OnAnswer(gateway.now, gateway.now, Voting(kD, 2));
+  BOOST_TEST(gateway.lease.Proved(gateway.now));
+  gateway.lease.SetRoster({1, {kA}});
+  BOOST_TEST(gateway.lease.epoch() == 2U);
+}
+
+// A replica whose disk takes everything at once.
+void Write(RegistryReplica& replica) {
+  if (replica.Dirty()) replica.OnWritten(replica.Record());
+}
+
+BOOST_AUTO_TEST_CASE(a_member_of_the_first_epoch_votes_once_that_is_on_disk) {
+  RegistryReplica replica(kA);
+  replica.Adopt(kStart, {1, {kA, kB, kC}});
+  BOOST_TEST(!replica.votes());
+  Write(replica);
+  BOOST_TEST(replica.votes());
+  RegistryReplica other(kD);
+  other.Adopt(kStart, {1, {kA, kB, kC}});
+  Write(other);
+  BOOST_TEST(!other.votes());
+}
+
+BOOST_AUTO_TEST_CASE(the_next_epoch_begins_with_what_a_majority_of_the_one_before_holds) {
+  RegistryReplica replica(kD);
+  replica.Adopt(kStart, {1, {kA, kB, kC}});
+  Write(replica);
+  replica.Adopt(kStart + 1s, {2, {kB, kC, kD}});
+  Write(replica);
+  BOOST_TEST(!replica.votes());
+  const Time asked = kStart + 2s;
+  replica.OnAnswer(kStart, {kB, 2, 1, false});  // asked before it adopted the epoch
+  replica.OnAnswer(asked, {kB, 2, 1, false});
+  replica.OnAnswer(asked, {kA, 1, 1, true});         // votes in the epoch before still
+  replica.OnAnswer(asked, {{"c", 9}, 2, 1, false});  // a wiped disk
+  Write(replica);
+  BOOST_TEST(!replica.votes());
+  replica.OnAnswer(asked, {kC, 2, 1, false});
+  BOOST_TEST(!replica.votes());  // not on disk yet
+  Write(replica);
+  BOOST_TEST(replica.votes());
+  BOOST_TEST(!replica.learned_from_all());
+}
+
+BOOST_AUTO_TEST_CASE(one_complete_member_is_enough_and_all_members_are_after_a_while) {
+  for (const bool complete : {true, false}) {
+    RegistryReplica replica(kD);
+    replica.Adopt(kStart, {7, {kB, kC, kD}});
+    Write(replica);
+    if (complete) replica.OnAnswer(kStart + 1ms, {kB, 7, 7, true});
+    if (!complete) {
+      replica.OnAnswer(kStart + 1s, {kB, 7, 0, false});
+      replica.OnAnswer(kStart + 1s, {kC, 7, 0, false});
+      Write(replica);
+      BOOST_TEST(!replica.votes());
+      replica.OnAnswer(kStart + 3s, {kC, 7, 0, false});
+    }
+    Write(replica);
+    BOOST_TEST(replica.votes());
+    BOOST_TEST(replica.learned_from_all() == !complete);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(a_restart_goes_on_from_the_disk_and_never_back_to_an_older_epoch) {
+  RegistryReplica replica(kB);
+  replica.Adopt(kStart, {1, {kA, kB, kC}});
+  Write(replica);
+  replica.Adopt(kStart, {2, {kB, kC, kD}});
+  Write(replica);
+  const auto kept = Decode(Encode({replica.Record(), "leaves"}));
+  BOOST_REQUIRE(kept.has_value());
+  BOOST_TEST(kept->leaves == "leaves");
+  RegistryReplica again(kB);
+  again.Restore(kept->record);
+  again.Adopt(kStart, {1, {kA, kB, kC}});  // the core's own record is older
+  BOOST_TEST(!again.votes());
+  BOOST_TEST(again.standing().epoch == 2U);
+  RegistryReplica later(kB);
+  later.Restore(kept->record);
+  later.Adopt(kStart, {2, {kB, kC, kD}});
+  BOOST_TEST(!later.votes());
+  later.OnAnswer(kStart, {kC, 2, 1, false});  // with itself, a majority of the roster that the disk knows
+  Write(later);
+  BOOST_TEST(later.votes());
+}
+
+BOOST_AUTO_TEST_CASE(foreign_bytes_are_no_record) {
+  const std::string bytes = Encode({{2, 1, {1, {kA, kB}}}, "leaves"});
+  for (std::size_t size = 0; size < bytes.size(); ++size) BOOST_TEST(!Decode(bytes.substr(0, size)));
+  BOOST_TEST(!Decode("\x93\x01\x02\x03"));
+  BOOST_TEST((Decode(bytes)->record == ReplicaRecord{2, 1, {1, {kA, kB}}}));
+}
+
+}  // namespace
+}  // namespace curlewdoor::registry
--- a/tests/system/answer_binding_test.cpp
+++ b/tests/system/answer_binding_test.cpp
@@ -68,7 +68,7 @@
       stream.Send(Encode(Clock{clock->asked_us, clock->asked_us}));
     if (const auto* put = std::get_if<Put>(&*message)) puts.push_back(put->number);
     if (const auto* get = std::get_if<Get>(&*message)) gets.push_back(get->number);
-    if (const auto* tell = std::get_if<Tell>(&*message)) tells.push_back(tell->number);
+    if (const auto* tell = std::get_if<ReplicateHosts>(&*message)) tells.push_back(tell->number);
   }
   void OnDown(Link::Stream& stream) override {
     if (asker == &stream) asker = nullptr;
@@ -164,8 +164,8 @@
   const std::string body =
       R"({"address":"127.0.0.9:80","details":{"service":"s"},"status":{"oper_state":"ready","call_sequence":1}})";
   const std::uint64_t number = scene.Ask(Post("/v1/instances/i-1/heartbeat", body), scene.core->tells);
-  scene.SayOnOther(Told{number});
-  scene.core->asker->Send(Encode(Told{number}));
+  scene.SayOnOther(HostsReplicated{number});
+  scene.core->asker->Send(Encode(HostsReplicated{number}));
   scene.RequireAnswer("200");
 }
 
--- a/tests/system/golden_test.cpp
+++ b/tests/system/golden_test.cpp
@@ -45,8 +45,8 @@
                                       Clock{12, 34},
                                       Hosts{"batch"},
                                       Refreshed{{{"i-1", 7}, {"i-2", 8}}},
-                                      Tell{9, "batch"},
-                                      Told{9},
+                                      ReplicateHosts{9, "batch"},
+                                      HostsReplicated{9},
                                       Put{3, 8, "{}"},
                                       Get{4},
                                       Done{4, 503, "late"},
@@ -60,7 +60,9 @@
                                       FoundingBytes{"founding"},
                                       Announce{3, 8, 77},
                                       Fetch{7, 3, 8, 77, 9, 78, 1024},
-                                      Fetched{7, 2, 9, 78, 2048, 1024, "delta"}};
+                                      Fetched{7, 2, 9, 78, 2048, 1024, "delta"},
+                                      RegistryQuery{12, 3},
+                                      RegistryAnswer{12, 77, 3, 3, true}};
   const Rewrite rewrite = [](const std::string& bytes) -> std::optional<std::string> {
     const auto message = Decode(bytes);
     return message ? std::optional(Encode(*message)) : std::nullopt;
@@ -287,7 +289,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_kind_of_a_later_version_is_told_from_foreign_bytes) {
-  const std::string body = system::Encode(system::Told{9}).substr(3);
+  const std::string body = system::Encode(system::HostsReplicated{9}).substr(3);
   const auto later = [&](int kind, const std::string& head = std::string("\x93\x01", 2)) {
     const std::string bytes = head + static_cast<char>(kind) + body;
     return !system::Decode(bytes) && system::IsOfLaterKind(bytes);
--- a/tests/system/leave_test.cpp
+++ b/tests/system/leave_test.cpp
@@ -73,7 +73,22 @@
   const unsigned long failed_before;
 };
 
-// A member that is cut off from the others, and a gateway that reaches it alone.
+// Just after the cut the member believes that it has a majority still.
+BOOST_AUTO_TEST_CASE(a_member_that_was_just_cut_off_acknowledges_no_leave) {
+  LeaveWorld world(3, 2);
+  BOOST_REQUIRE(world.Start());
+  Host& leaver = world.AddLeaver(true);
+  world.AskAll({1, 2, 3, 4}, 1);
+  leaver.CallFirst(0);
+  world.relays->Separate({0});
+  leaver.Drain();
+  BOOST_TEST(world.LeaveIsAcknowledged(leaver));
+  world.AskAll({1, 2, 3, 4}, kDrain + 2);
+  world.relays->JoinAll();
+  world.Judge();
+}
+
+// Later it knows that it has none, and so does no gateway that reaches it alone.
 BOOST_AUTO_TEST_CASE(a_gateway_acknowledges_no_leave_on_the_word_of_a_member_without_majority) {
   LeaveWorld world(3, 2);
   BOOST_REQUIRE(world.Start());
--- a/tests/system/message_test.cpp
+++ b/tests/system/message_test.cpp
@@ -32,8 +32,9 @@
           Hosts{kBytes},
           Refreshed{{{"i-1", 7}, {"i-2", kMost}, {"", 0}}},
           Refreshed{},
-          Tell{kMost, kBytes},
-          Told{12},
+          ReplicateHosts{kMost, kBytes},
+          HostsReplicated{12},
+          HostsReplicated{kMost, kMost, 3, 2, true},
           Put{1, kMost, std::string(300, 'x')},
           Get{3},
           Done{4, 503, "late\n"},
@@ -47,7 +48,9 @@
           FoundingBytes{kBytes},
           Announce{3, 9, kMost},
           Fetch{1, 2, 3, kMost, 5, kMost, 32'768},
-          Fetched{8, 2, 9, kMost, 70'000, 32'768, kBytes}};
+          Fetched{8, 2, 9, kMost, 70'000, 32'768, kBytes},
+          RegistryQuery{-5, kMost},
+          RegistryAnswer{kMostMicros, kMost, 3, 2, true}};
 }
 
 // Of 24 bytes each: what arrays may claim before it is there, one within the other.
@@ -215,11 +218,14 @@
 
 BOOST_AUTO_TEST_CASE(WrongTypesAndRangesAreNoMessage) {
   const std::string head("\x93\x01", 2);
-  BOOST_TEST(!Take(head + std::string("\x05\x91\xa1x", 4)));                     // Told: a text for a number
-  BOOST_TEST(!Take(head + std::string("\x05\x91\xff", 3)));                      // ... a number below 0
-  BOOST_TEST(!Take(head + std::string("\x05\x90", 2)));                          // ... too few fields
-  BOOST_TEST(Take(head + std::string("\x05\x93\x07\xc0\xa1x", 6)).has_value());  // a later minor version's
-  BOOST_TEST(!Take(head + std::string("\x02\x91\xc0", 3)));                      // Hosts: nil
+  BOOST_TEST(!Take(head + std::string("\x05\x91\xa1x", 4)));  // HostsReplicated: a text for a number
+  BOOST_TEST(!Take(head + std::string("\x05\x91\xff", 3)));   // ... a number below 0
+  BOOST_TEST(!Take(head + std::string("\x05\x90", 2)));       // ... too few fields
+  BOOST_TEST(Take(head + std::string("\x05\x91\x07", 3)).has_value());  // an earlier minor version's
+  BOOST_TEST(
+      Take(head + std::string("\x05\x97\x07\x01\x01\x01\xc3\xc0\xa1x", 10)).has_value());  // a later one's
+  BOOST_TEST(!Take(head + std::string("\x05\x93\x07\xc0\xa1x", 6)));  // a field that is known, nil
+  BOOST_TEST(!Take(head + std::string("\x02\x91\xc0", 3)));           // Hosts: nil
   BOOST_TEST(!Take(head + std::string("\x08\x93\x01\xcf\x7f\xff\xff\xff\xff\xff\xff\xff\xa0", 13)));
 }
 
