--- a/tests/system/leave_soak_test.cpp
+++ b/tests/system/leave_soak_test.cpp
@@ -24,8 +24,8 @@
 constexpr double kSoon = 30;
 constexpr double kContact = 3;  // seconds of contact_ms
 constexpr double kDrain = 2;    // ... of drain_ms
-constexpr double kAskEvery = 0.02;
-constexpr double kLeaveEvery = 0.6;
+constexpr double kAskEvery = 0.01;
+constexpr double kLeaveEvery = 0.3;
 constexpr std::size_t kMostLeavers = 24;  // at once
 
 int Setting(const char* name, int usual) {
@@ -35,7 +35,8 @@
 
 Machines::Options Deployment() {
   Machines::Options options;
-  options.program = CURLEWDOOR_PROGRAM;
+  const char* program = std::getenv("CURLEWDOOR_SOAK_PROGRAM");  // another version, to see it fail
+  options.program = program != nullptr ? program : CURLEWDOOR_PROGRAM;
   options.core = kCore;
   options.others = kOthers;
   options.relayed = true;
@@ -96,7 +97,7 @@
     const double now = world_.pace.Now();
     if (now >= ask_at_) {
       ask_at_ = now + kAskEvery;
-      for (int i = 0; i < 2; ++i) world_.clients.AskAt(Reads(0), Pick(kAll));
+      for (int i = 0; i < 3; ++i) world_.clients.AskAt(Reads(0), Pick(kAll));
     }
     if (now < leave_at_) return;
     leave_at_ = now + kLeaveEvery * Draw(0.5, 1.5);
@@ -124,7 +125,7 @@
   void Troubles() {
     const double now = world_.pace.Now();
     if (now >= trouble_at_) {
-      trouble_at_ = now + Draw(0.4, 1.6);
+      trouble_at_ = now + Draw(0.5, 1.8);
       Begin();
     }
     while (!ends_.empty() && ends_.begin()->first <= now) {
@@ -134,10 +135,11 @@
     }
   }
   void Begin() {
-    switch (Pick(6)) {
+    switch (Pick(7)) {
       case 0:
       case 1:
-        return Stop(Pick(kAll), Draw(0.1, 4));
+      case 6:
+        return Stop(Pick(kAll), Draw(0.2, 5));
       case 2:
         return Kill({Pick(kAll)}, Draw(0.05, 1.5));
       case 3:
