--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -67,7 +67,7 @@
     std::uint64_t waited = 0;    // for a proof of the list of hosts
     std::uint64_t unproved = 0;  // attempts sent though it couldn't be had
     // Attempts written to a host although the list says that it leaves, or is neither proved nor given up:
-    // never, whatever happens.
+    // none, unless the process is paused in the microseconds between the choice and the write.
     std::uint64_t written_to_leaving = 0;
   };
   const Figures& figures() const { return figures_; }
--- a/src/system/message.hpp
+++ b/src/system/message.hpp
@@ -42,7 +42,7 @@
   std::uint64_t number = 0;
   std::string batch;
 };
-struct HostsReplicated {  // versions before 0.6 send the number alone: they don't vote
+struct HostsReplicated {  // versions that know no votes send the number alone
   std::uint64_t number = 0;
   std::uint64_t incarnation = 0, epoch = 0, complete_epoch = 0;  // registry::Standing of the sender
   bool votes = false;
