--- a/src/directory/directory.hpp
+++ b/src/directory/directory.hpp
@@ -101,6 +101,12 @@
     }
   }
 
+  // Calls f(const Entry&) for all, gone ones included. f changes nothing here.
+  template <class F>
+  void ForEach(F f) const {
+    for (const Entry& entry : entries_) f(entry);
+  }
+
   // nullptr if it isn't known. Valid until the next change.
   const Entry* Find(const std::string& id) const;
   // Who has this address now; nullptr if nobody.
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -174,8 +174,9 @@
 
 std::string Node::EncodeLeaves(const registry::ReplicaRecord& record) const {
   std::vector<directory::Entry> leaves;
-  for (directory::Entry& entry : directory_.All())
-    if (directory::Leaves(entry)) leaves.push_back(std::move(entry));
+  directory_.ForEach([&](const directory::Entry& entry) {
+    if (directory::Leaves(entry)) leaves.push_back(entry);
+  });
   return registry::Encode({record, directory::Encode(leaves, Now())});
 }
 
