--- a/src/system/package.cmake
+++ b/src/system/package.cmake
@@ -2,7 +2,7 @@
 add_library(curlewdoor_node STATIC src/counting/held_counts.cpp src/counting/pressure.cpp src/counting/quota_plan.cpp
                                    src/system/call_door.cpp src/system/command.cpp src/system/config_feed.cpp
                                    src/system/config_source.cpp src/system/founding_host.cpp
-                                   src/system/front.cpp src/system/front_dialect.cpp
+                                   src/system/front.cpp src/system/front_dialect.cpp src/system/front_in_force.cpp
                                    src/system/link.cpp src/system/message.cpp src/system/node.cpp src/system/node_calls.cpp
                                    src/system/node_core.cpp src/system/node_count.cpp
                                    src/system/node_directory.cpp src/system/node_feed.cpp
