--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -106,6 +106,8 @@
   void OnUp(Link::Stream& stream) override;
   void OnFrame(Link::Stream& stream, std::string_view frame) override;
   void OnDown(Link::Stream& stream) override;
+  // Whether a question that went out on these streams may be answered on this one.
+  static bool WentOn(const std::vector<std::uint64_t>& streams, const Link::Stream& stream);
   void Take(Link::Stream& stream, Hello& message);
   void Take(Link::Stream& stream, Clock& message);
   void AskClock(Link::Stream& stream);
@@ -151,7 +153,8 @@
 
   // Directory.
   enum class Merged {
-    kNotTaken,  // unreadable, or holds a leave that there was no room for
+    kUnreadable,
+    kNoRoom,  // for a leave of a host that isn't listed here: it isn't held
     kNews,
     kLeave  // and it is held now
   };
--- a/src/system/node_directory.cpp
+++ b/src/system/node_directory.cpp
@@ -14,18 +14,18 @@
   const auto entries = directory::Decode(batch, Now());
   if (!entries) {
     Say(Event::kMessageRefused, "hosts");
-    return Merged::kNotTaken;
+    return Merged::kUnreadable;
   }
-  Merged merged = Merged::kNews;
+  bool any_leave = false, all_held = true;
   for (const directory::Entry& entry : *entries) {
     directory_.Merge(Now(), entry);
     if (!directory::Leaves(entry)) continue;
-    const auto* held = directory_.Find(entry.id);
-    const bool long_gone = held == nullptr && Now() - entry.since >= directory::kKeepGone;
-    if (held == nullptr && !long_gone) return Merged::kNotTaken;
-    merged = Merged::kLeave;
+    any_leave = true;
+    const bool long_gone = Now() - entry.since >= directory::kKeepGone;
+    all_held = all_held && (long_gone || directory_.Find(entry.id) != nullptr);
   }
-  return merged;
+  if (!all_held) return Merged::kNoRoom;
+  return any_leave ? Merged::kLeave : Merged::kNews;
 }
 
 // To all that want news from here: the leaves among what has changed after that event of the journal.
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -9,14 +9,10 @@
 
 namespace curlewdoor::system {
 
-namespace {
-
-bool WentOn(const std::vector<std::uint64_t>& streams, const Link::Stream& stream) {
+bool Node::WentOn(const std::vector<std::uint64_t>& streams, const Link::Stream& stream) {
   return std::find(streams.begin(), streams.end(), stream.number) != streams.end();
 }
 
-}  // namespace
-
 void Node::Broadcast(const Message& message) {
   const std::string frame = Encode(message);
   link_.ForEach([&](Link::Stream& stream) {
@@ -123,7 +119,7 @@
   const Merged merged = MergeBatch(message.batch);
   if (!from_core) return;
   // An answer on this stream would prove a list that lacks this: it begins anew, with all that there is.
-  if (merged == Merged::kNotTaken) return stream.Close();
+  if (merged == Merged::kUnreadable) return stream.Close();
   RelayLeaves(before);
   told_hosts_ = directory_.version();
   if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -1,6 +1,5 @@
 // Node: a host's leave is acknowledged once a majority of the core holds it, and requests are sent by a list
 // that a majority has proved. registry/ decides; here it is carried out.
-#include <algorithm>
 #include <utility>
 
 #include "directory/codec.hpp"
@@ -95,8 +94,7 @@
 void Node::Take(Link::Stream& stream, HostsReplicated& message) {
   const auto it = replications_.find(message.number);
   if (it == replications_.end()) return;
-  const auto& streams = it->second.streams;
-  if (std::find(streams.begin(), streams.end(), stream.number) == streams.end()) return;
+  if (!WentOn(it->second.streams, stream)) return;
   if (message.votes) it->second.votes.Add({stream.name, message.incarnation}, message.epoch);
   ConsiderAcknowledged(message.number);
 }
@@ -120,7 +118,8 @@
 
 void Node::Take(Link::Stream& stream, ReplicateHosts& message) {
   const Merged merged = MergeBatch(message.batch);
-  if (merged == Merged::kNotTaken || owed_votes_.size() >= kMostOwedVotes) return;
+  const bool taken = merged == Merged::kNews || merged == Merged::kLeave;
+  if (!taken || owed_votes_.size() >= kMostOwedVotes) return;
   if (merged == Merged::kLeave && core_) {
     owed_votes_.push_back({stream.number, message.number});
     return;  // with the next write of leaves
