--- a/src/agreement/founding.cpp
+++ b/src/agreement/bootstrapper.cpp
@@ -1,4 +1,4 @@
-#include "agreement/founding.hpp"
+#include "agreement/bootstrapper.hpp"
 
 #include <algorithm>
 #include <bit>
--- a/src/agreement/founding.hpp
+++ b/src/agreement/bootstrapper.hpp
@@ -19,8 +19,8 @@
 #include <utility>
 #include <vector>
 
+#include "agreement/bootstrap_message.hpp"
 #include "agreement/core.hpp"
-#include "agreement/founding_message.hpp"
 
 namespace curlewdoor::agreement::founding {
 
@@ -94,7 +94,7 @@
   static constexpr std::uint64_t kSelf = 0;
 
  private:
-  friend struct FoundingProbe;  // tests/agreement/founding_model_check_test.cpp
+  friend struct FoundingProbe;  // tests/agreement/bootstrap_model_check_test.cpp
   struct Attempt {
     Ballot ballot;
     bool accepting = false;  // the second phase
--- a/src/agreement/codec.hpp
+++ b/src/agreement/codec.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "agreement/founding_message.hpp"
+#include "agreement/bootstrap_message.hpp"
 #include "agreement/message.hpp"
 
 namespace curlewdoor::agreement {
--- a/src/agreement/message.hpp
+++ b/src/agreement/message.hpp
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "agreement/ledger.hpp"
+#include "agreement/outcome_log.hpp"
 #include "util/hash.hpp"
 
 namespace curlewdoor::agreement {
--- a/src/agreement/ledger.cpp
+++ b/src/agreement/outcome_log.cpp
@@ -1,4 +1,4 @@
-#include "agreement/ledger.hpp"
+#include "agreement/outcome_log.hpp"
 
 #include <algorithm>
 
--- a/src/system/founding_host.hpp
+++ b/src/system/founding_host.hpp
@@ -1,5 +1,5 @@
-// Carries the first start of a core (agreement/founding.hpp) between this process, the seeds and the members:
-// moves messages and writes, and decides nothing.
+// Carries the first start of a core (agreement/bootstrapper.hpp) between this process, the seeds and the
+// members: moves messages and writes, and decides nothing.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "agreement/founding.hpp"
+#include "agreement/bootstrapper.hpp"
 #include "settings/settings.hpp"
 #include "system/link.hpp"
 #include "util/address.hpp"
--- a/src/system/message.hpp
+++ b/src/system/message.hpp
@@ -92,7 +92,7 @@
   std::uint64_t number = 0;
 };
 
-struct FoundingBytes {  // of the first start (agreement/founding.hpp)
+struct FoundingBytes {  // of the first start (agreement/bootstrapper.hpp)
   std::string bytes;
 };
 
--- a/tests/agreement/agreement_test.cpp
+++ b/tests/agreement/agreement_test.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <functional>
 
-#include "world.hpp"
+#include "core_simulation.hpp"
 
 namespace curlewdoor::agreement::test {
 namespace {
--- a/tests/agreement/founding_model_check_test.cpp
+++ b/tests/agreement/bootstrap_model_check_test.cpp
@@ -15,8 +15,8 @@
 #include <unordered_map>
 
 #include "../seen_states.hpp"
+#include "agreement/bootstrapper.hpp"
 #include "agreement/codec.hpp"
-#include "agreement/founding.hpp"
 
 namespace curlewdoor::agreement::founding {
 
--- a/tests/agreement/founding_test.cpp
+++ b/tests/agreement/bootstrap_test.cpp
@@ -1,8 +1,6 @@
 // The first start in virtual time: machines that start within 0.3 s of each other, views that lag, slow
 // disks, cuts, lost messages, processes that end. Never two cores; and one soon, as long as more than half of
 // the seeds can be reached. More by hand: CURLEWDOOR_SEEDS=n of each mix.
-#include "agreement/founding.hpp"
-
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 #include <functional>
@@ -11,6 +9,7 @@
 #include <random>
 #include <set>
 
+#include "agreement/bootstrapper.hpp"
 #include "agreement/codec.hpp"
 
 namespace curlewdoor::agreement::founding {
--- a/tests/agreement/core_checker.hpp
+++ b/tests/agreement/core_checker.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "checker_state.hpp"
-#include "checker_words.hpp"
+#include "trace_text.hpp"
 
 namespace curlewdoor::agreement {
 namespace {
--- a/tests/agreement/placement_test.cpp
+++ b/tests/agreement/placement_test.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "world.hpp"
+#include "core_simulation.hpp"
 
 namespace curlewdoor::agreement {
 namespace {
