--- a/fuzz/agreement.cpp
+++ b/fuzz/agreement.cpp
@@ -11,38 +11,38 @@
 namespace {
 
 void CheckMembers(const std::vector<Member>& members) {
-  FUZZ_REQUIRE(members.size() <= kMostMembers);
+  FUZZ_REQUIRE(members.size() <= kMaxMembers);
   for (const Member& member : members)
-    FUZZ_REQUIRE(member.life.node.size() <= kMostName && member.address.size() <= kMostName);
+    FUZZ_REQUIRE(member.incarnation.node.size() <= kMaxNameBytes && member.address.size() <= kMaxNameBytes);
 }
 
 void CheckRecord(const Record& record) {
-  FUZZ_REQUIRE(record.value.text.size() <= kMostText);
-  FUZZ_REQUIRE(record.ledger.entries.size() <= kOutcomesKept);
+  FUZZ_REQUIRE(record.value.text.size() <= kMaxTextBytes);
+  FUZZ_REQUIRE(record.outcome_log.entries.size() <= kMaxOutcomes);
 }
 
 void CheckMessage(std::string_view bytes) {
   const auto message = DecodeMessage(bytes);
   if (!message) return;
   CheckMembers({message->from});
-  if (const auto* offer = std::get_if<Offer>(&message->body)) CheckMembers(offer->members);
+  if (const auto* offer = std::get_if<MembershipOffer>(&message->body)) CheckMembers(offer->members);
   if (const auto* install = std::get_if<InstallEpoch>(&message->body)) CheckMembers(install->members);
-  if (const auto* accept = std::get_if<AcceptEpoch>(&message->body)) CheckMembers(accept->members);
-  if (const auto* accept = std::get_if<Accept>(&message->body)) {
-    FUZZ_REQUIRE(accept->added.size() <= kMostAdded);
-    if (accept->value) FUZZ_REQUIRE(accept->value->text.size() <= kMostText);
+  if (const auto* accept = std::get_if<EpochAccept>(&message->body)) CheckMembers(accept->members);
+  if (const auto* accept = std::get_if<RegisterAccept>(&message->body)) {
+    FUZZ_REQUIRE(accept->added_outcomes.size() <= kMaxOutcomesPerBallot);
+    if (accept->value) FUZZ_REQUIRE(accept->value->text.size() <= kMaxTextBytes);
   }
-  if (const auto* fetched = std::get_if<Fetched>(&message->body)) CheckRecord(fetched->record);
+  if (const auto* fetched = std::get_if<RecordReply>(&message->body)) CheckRecord(fetched->record);
   FUZZ_REQUIRE(DecodeMessage(Encode(*message)) == message);
 }
 
 void CheckRecords(const ReadRecord& read_record) {
   const auto read = DecodeState(read_record);
   if (!read) return;
-  CheckMembers(read->roster.members);
+  CheckMembers(read->membership.members);
   if (read->accepted) CheckMembers(read->accepted->members);
-  FUZZ_REQUIRE(read->bound.size() <= kMostMembers);
-  FUZZ_REQUIRE(read->ledger.entries.size() <= kOutcomesKept);
+  FUZZ_REQUIRE(read->accepted_proposers.size() <= kMaxMembers);
+  FUZZ_REQUIRE(read->outcome_log.entries.size() <= kMaxOutcomes);
   std::map<std::string, std::string> written;
   for (auto& [key, bytes] : EncodeAll(*read)) written[key] = bytes;
   const auto again = DecodeState([&](const std::string& key) -> std::optional<std::string> {
@@ -54,27 +54,29 @@
 
 // Every page is the given one.
 void CheckPages(const std::string& page) {
-  State state;
+  CoreState state;
   for (std::uint64_t version = 1; version <= kOutcomesPerPage; ++version)
-    state.ledger.Append({version, {}, true});
+    state.outcome_log.Append({version, {}, true});
   CheckRecords([&](const std::string& key) -> std::optional<std::string> {
     if (key == kStateKey) return EncodeState(state);
     return key == kValueKey ? std::nullopt : std::optional(page);
   });
 }
 
-void CheckFounding(std::string_view bytes) {
-  const auto message = DecodeFounding(bytes);
+void CheckBootstrap(std::string_view bytes) {
+  const auto message = DecodeBootstrap(bytes);
   if (!message) return;
-  FUZZ_REQUIRE(message->electorate.size() <= founding::kMostSeeds);
-  if (const auto* accept = std::get_if<founding::Accept>(&message->body)) CheckMembers(accept->members);
-  if (const auto* chosen = std::get_if<founding::Chosen>(&message->body)) CheckMembers(chosen->members);
-  FUZZ_REQUIRE(DecodeFounding(Encode(*message)) == message);
+  FUZZ_REQUIRE(message->acceptors.size() <= bootstrap::kMaxSeeds);
+  if (const auto* accept = std::get_if<bootstrap::BootstrapAccept>(&message->body))
+    CheckMembers(accept->members);
+  if (const auto* chosen = std::get_if<bootstrap::BootstrapChosen>(&message->body))
+    CheckMembers(chosen->members);
+  FUZZ_REQUIRE(DecodeBootstrap(Encode(*message)) == message);
 }
 
-void CheckFoundingState(std::string_view bytes) {
-  const auto state = DecodeFoundingState(bytes);
-  if (state) FUZZ_REQUIRE(DecodeFoundingState(EncodeFoundingState(*state)) == state);
+void CheckBootstrapState(std::string_view bytes) {
+  const auto state = DecodeBootstrapState(bytes);
+  if (state) FUZZ_REQUIRE(DecodeBootstrapState(EncodeBootstrapState(*state)) == state);
 }
 
 }  // namespace
@@ -93,9 +95,9 @@
     case 'p':
       return CheckPages(rest);
     case 'f':
-      return CheckFounding(rest);
+      return CheckBootstrap(rest);
     case 'g':
-      return CheckFoundingState(rest);
+      return CheckBootstrapState(rest);
     default:
       return;
   }
--- a/src/agreement/bootstrap_message.hpp
+++ b/src/agreement/bootstrap_message.hpp
@@ -1,4 +1,4 @@
-// What is said while a core is founded (founding.hpp), and what a seed keeps of it.
+// The messages exchanged while a core bootstraps (bootstrapper.hpp), and the state that an acceptor keeps.
 #pragma once
 
 #include <cstddef>
@@ -9,58 +9,60 @@
 
 #include "agreement/message.hpp"
 
-namespace curlewdoor::agreement::founding {
+namespace curlewdoor::agreement::bootstrap {
 
-constexpr std::size_t kMostSeeds = kMostMembers;
+constexpr std::size_t kMaxSeeds = kMaxMembers;
 
-/// The seeds of the settings file by the number of their address, ascending, each once: the acceptors.
-using Electorate = std::vector<std::uint32_t>;
-/// The lowest kMostSeeds of them; where there is no seed, the process itself is the only one.
-Electorate ElectorateOf(const std::vector<std::uint32_t>& seeds, std::uint32_t self);
+/// The acceptors: the seeds of the settings file as numeric addresses, ascending and without duplicates.
+using AcceptorSet = std::vector<std::uint32_t>;
+/// The lowest kMaxSeeds of the seeds; without any seed, the process itself is the only acceptor.
+AcceptorSet MakeAcceptorSet(const std::vector<std::uint32_t>& seeds, std::uint32_t self);
 
-struct Prepare {
+struct BootstrapPrepare {
   Ballot ballot;
-  bool operator==(const Prepare&) const = default;
+  bool operator==(const BootstrapPrepare&) const = default;
 };
-/// Granted when `promised` is the ballot that was asked for.
-struct Promise {
-  std::uint32_t seed = 0;  // who says so
-  Ballot asked, promised;
-  std::optional<Accepting> accepted;
-  bool operator==(const Promise&) const = default;
+/// Granted if `promised` equals the requested ballot.
+struct BootstrapPromise {
+  std::uint32_t seed = 0;  // the sender
+  Ballot requested, promised;
+  std::optional<AcceptedProposal> accepted;
+  bool operator==(const BootstrapPromise&) const = default;
 };
-struct Accept {
+struct BootstrapAccept {
   Ballot ballot;
   std::vector<Member> members;  // of epoch 1
-  bool operator==(const Accept&) const = default;
+  bool operator==(const BootstrapAccept&) const = default;
 };
-/// Accepted when `promised` is the ballot that was asked for.
-struct Accepted {
+/// Accepted if `promised` equals the requested ballot.
+struct BootstrapAccepted {
   std::uint32_t seed = 0;
-  Ballot asked, promised;
-  bool operator==(const Accepted&) const = default;
+  Ballot requested, promised;
+  bool operator==(const BootstrapAccepted&) const = default;
 };
 /// More than half of the seeds have accepted these members.
-struct Chosen {
+struct BootstrapChosen {
   std::vector<Member> members;
-  bool operator==(const Chosen&) const = default;
+  bool operator==(const BootstrapChosen&) const = default;
 };
-using Body = std::variant<Prepare, Promise, Accept, Accepted, Chosen>;
+using BootstrapMessageBody =
+    std::variant<BootstrapPrepare, BootstrapPromise, BootstrapAccept, BootstrapAccepted, BootstrapChosen>;
 
-/// Those of another electorate are passed over: two systems that share no seed are two systems.
-struct Message {
-  Electorate electorate;
-  Body body;
-  bool operator==(const Message&) const = default;
+/// A message of a bootstrap. Messages with another acceptor set are ignored: two systems that share no seed
+/// are two systems.
+struct BootstrapMessage {
+  AcceptorSet acceptors;
+  BootstrapMessageBody body;
+  bool operator==(const BootstrapMessage&) const = default;
 };
 
-/// What an acceptor may not forget. The electorate stays what it was at the first start, whatever the
+/// What an acceptor must not forget. The acceptor set stays what it was at the first start, whatever the
 /// settings say later.
-struct State {
-  Electorate electorate;
+struct BootstrapState {
+  AcceptorSet acceptors;
   Ballot promised;
-  std::optional<Accepting> accepted;
-  bool operator==(const State&) const = default;
+  std::optional<AcceptedProposal> accepted;
+  bool operator==(const BootstrapState&) const = default;
 };
 
-}  // namespace curlewdoor::agreement::founding
+}  // namespace curlewdoor::agreement::bootstrap
--- a/src/agreement/codec.hpp
+++ b/src/agreement/codec.hpp
@@ -1,4 +1,4 @@
-// Messages and the state as bytes (msgpack).
+// Encodes and decodes messages and stored state (msgpack).
 #pragma once
 
 #include <cstdint>
@@ -14,34 +14,34 @@
 
 namespace curlewdoor::agreement {
 
-std::string Encode(const Message& message);
-// None for what is cut, too large, of another version or not a message. Never throws; allocates no more than
-// a small multiple of the bytes given.
-std::optional<Message> DecodeMessage(std::string_view bytes);
-
-// The state is several records in storage, written together where they change: all but the value and the
-// outcomes; the value; and pages of the outcomes, under as many keys as the ledger needs.
-inline constexpr char kStateKey[] = "state", kValueKey[] = "value", kPageKeys[] = "outcomes/";
-std::string EncodeState(const State& state, const Ledger& ledger);
-inline std::string EncodeState(const State& state) { return EncodeState(state, state.ledger); }
-std::string EncodeValue(const Value& value);
-// The pages that hold the outcomes numbered `from` and on.
-std::vector<std::pair<std::string, std::string>> EncodePages(const Ledger& ledger, std::uint64_t from);
-std::vector<std::pair<std::string, std::string>> EncodeAll(const State& state);
+std::string Encode(const CoreMessage& message);
+/// Returns nullopt for input that is truncated, too large, of another format or not a message. Never throws;
+/// allocates no more than a small multiple of the size of the input.
+std::optional<CoreMessage> DecodeMessage(std::string_view bytes);
+
+/// The state is stored as several records, which are written together when they change: the value; the
+/// outcomes, as pages under as many keys as are needed; and all the rest under kStateKey.
+inline constexpr char kStateKey[] = "state", kValueKey[] = "value", kPageKeyPrefix[] = "outcomes/";
+std::string EncodeState(const CoreState& state, const OutcomeLog& outcomes);
+inline std::string EncodeState(const CoreState& state) { return EncodeState(state, state.outcome_log); }
+std::string EncodeValue(const ConfigValue& value);
+/// The pages that hold the outcomes numbered `from` and above.
+std::vector<std::pair<std::string, std::string>> EncodePages(const OutcomeLog& outcomes, std::uint64_t from);
+std::vector<std::pair<std::string, std::string>> EncodeAll(const CoreState& state);
 
 using ReadRecord = std::function<std::optional<std::string>(const std::string& key)>;
-// None: bytes that none of the above made, or a page is missing. A state or value that isn't there is none of
-// its kind. Reads what processes without ballots have written.
-std::optional<State> DecodeState(const ReadRecord& read);
-// Where there are no outcomes.
-std::optional<State> DecodeState(const std::optional<std::string>& state,
-                                 const std::optional<std::string>& value);
-
-/// The first start's messages, and the record that an acceptor with a disk keeps beside the two above.
-inline constexpr char kFoundingKey[] = "founding";
-std::string Encode(const founding::Message& message);
-std::optional<founding::Message> DecodeFounding(std::string_view bytes);
-std::string EncodeFoundingState(const founding::State& state);
-std::optional<founding::State> DecodeFoundingState(std::string_view bytes);
+/// Returns nullopt for bytes that none of the functions above produced, or if a page is missing. A missing
+/// state or value counts as empty. Also reads the records of processes without ballots (format 1).
+std::optional<CoreState> DecodeState(const ReadRecord& read);
+/// For a state without outcomes.
+std::optional<CoreState> DecodeState(const std::optional<std::string>& state,
+                                     const std::optional<std::string>& value);
+
+/// Bootstrap messages, and the record that an acceptor with a disk keeps in addition to those above.
+inline constexpr char kBootstrapKey[] = "founding";
+std::string Encode(const bootstrap::BootstrapMessage& message);
+std::optional<bootstrap::BootstrapMessage> DecodeBootstrap(std::string_view bytes);
+std::string EncodeBootstrapState(const bootstrap::BootstrapState& state);
+std::optional<bootstrap::BootstrapState> DecodeBootstrapState(std::string_view bytes);
 
 }  // namespace curlewdoor::agreement
--- a/src/agreement/membership.cpp
+++ b/src/agreement/membership.cpp
@@ -1,4 +1,4 @@
-// Epochs: which voters come next, and how the present ones agree on them.
+// Epochs: which voters come next, and how the current ones agree on them.
 #include <algorithm>
 #include <bit>
 
@@ -11,251 +11,281 @@
 namespace {
 
 constexpr auto kProposalTimeout = milliseconds(1000);
-constexpr auto kSealedFor = milliseconds(400);   // then the successor is found again
-constexpr auto kNextInLine = milliseconds(700);  // each further member waits so much longer
-constexpr auto kLearnInTurn = milliseconds(30);  // ... with the first ballot of an epoch
-
-bool Holds(const std::vector<Member>& members, const Life& life) {
-  return std::any_of(members.begin(), members.end(), [&life](const Member& m) { return m.life == life; });
+// A member that is sealed for this long proposes the accepted successor itself.
+constexpr auto kSealedRetryAfter = milliseconds(400);
+constexpr auto kRankDelay = milliseconds(700);      // extra wait per live member of a lower address
+constexpr auto kLearnRankDelay = milliseconds(30);  // extra wait per rank before the first read of an epoch
+
+bool ContainsIncarnation(const std::vector<Member>& members, const Incarnation& incarnation) {
+  return std::any_of(members.begin(), members.end(),
+                     [&incarnation](const Member& m) { return m.incarnation == incarnation; });
 }
 
 }  // namespace
 
-// Where the own record is the higher one it was proposed in an earlier epoch, and holds all that was chosen.
-void Core::Adopt(Time now, Roster roster, RecordPtr record, const Stamp& stamp, Out& out) {
-  if (stamp > state_.stamp) Replace(std::move(record), stamp);
-  state_.roster = std::move(roster);
+// Enters a newer epoch. If the record held here is newer than `record`, it was proposed in an earlier epoch
+// and contains all that was chosen, so it is kept.
+void Core::EnterEpoch(Time now, Membership membership, RecordPtr record, const Stamp& stamp,
+                      CoreOutput& out) {
+  if (stamp > state_.stamp) ReplaceHeldRecord(std::move(record), stamp);
+  state_.membership = std::move(membership);
   state_.promised = {};
   state_.accepted.reset();
-  state_.bound.clear();
-  const std::uint64_t epoch = state_.roster.epoch;
+  state_.accepted_proposers.clear();
+  const std::uint64_t epoch = state_.membership.epoch;
   state_.register_promised = state_.stamp.epoch == epoch ? state_.stamp.ballot : Ballot{};
-  Changed();
+  MarkStateChanged();
   learned_ = false;
-  asks_since_.reset();
-  committed_before_.assign(1, state_.stamp);
-  learn_next_ = now + std::max(0, Index(self_.life)) * kLearnInTurn;
+  asking_since_.reset();
+  recent_committed_.assign(1, state_.stamp);
+  next_learn_at_ = now + std::max(0, MemberIndex(self_.incarnation)) * kLearnRankDelay;
   attempt_.reset();
   proposal_.reset();
-  offering_.reset();
+  pending_offer_.reset();
   sealed_since_.reset();
-  wish_since_.reset();
+  change_wanted_since_.reset();
   highest_round_ = 0;
   register_round_ = state_.register_promised.round;
-  out.roster_changed = true;
-  out.notes.push_back("epoch " + std::to_string(epoch) + " of " +
-                      std::to_string(state_.roster.members.size()) +
-                      (member() ? " members" : " members, this one not among them"));
+  out.membership_changed = true;
+  out.log_messages.push_back("epoch " + std::to_string(epoch) + " of " +
+                             std::to_string(state_.membership.members.size()) +
+                             (member() ? " members" : " members, this one not among them"));
   std::vector<std::uint64_t> keys;
   for (const Call& call : calls_) keys.push_back(call.key);
   for (std::uint64_t key : keys) {
     Call& call = *FindCall(key);
     if (member()) {
-      Restart(now, call, out);
+      RestartCall(now, call, out);
     } else {
-      Finish(key, call.put ? Outcome::kUncertain : Outcome::kNoMajority, out);
+      FinishCall(key, call.put ? CallOutcome::kUncertain : CallOutcome::kNoMajority, out);
     }
   }
   Ping(now, out);
 }
 
-// ---- The successor ----
+// ---- Successor ----
 
-void Core::TickProposal(Time now, Out& out) {
+void Core::TickProposal(Time now, CoreOutput& out) {
   if (!member()) return;
   if (proposal_) {
     if (now >= proposal_->deadline) {
       FailProposal(now);
-    } else if (now >= proposal_->next) {
+    } else if (now >= proposal_->next_send_at) {
       SendProposal(now, out);
     }
     return;
   }
   if (sealed()) {
     if (!sealed_since_) sealed_since_ = now;
-    Duration wait = kSealedFor + Index(self_.life) * milliseconds(150);
-    if (now - *sealed_since_ >= wait && now >= propose_after_) Propose(now, state_.accepted->members, out);
+    Duration wait = kSealedRetryAfter + MemberIndex(self_.incarnation) * milliseconds(150);
+    if (now - *sealed_since_ >= wait && now >= next_proposal_at_) Propose(now, state_.accepted->members, out);
     return;
   }
-  if (forgotten_ && now >= forgotten_->until) forgotten_.reset();
-  if (auto without = forgotten_ && now >= propose_after_ ? WithoutForgotten(now) : std::nullopt)
-    return Propose(now, std::move(*without), out);
-  auto wish = majority(now) ? Wish(now) : std::nullopt;
-  if (!wish) {
-    wish_since_.reset();
+  if (forget_order_ && now >= forget_order_->until) forget_order_.reset();
+  if (auto remaining =
+          forget_order_ && now >= next_proposal_at_ ? MembersWithoutForgotten(now) : std::nullopt)
+    return Propose(now, std::move(*remaining), out);
+  auto desired = majority(now) ? DesiredMembers(now) : std::nullopt;
+  if (!desired) {
+    change_wanted_since_.reset();
     return;
   }
-  if (!wish_since_) wish_since_ = now;
+  if (!change_wanted_since_) change_wanted_since_ = now;
   int before = 0;
-  for (const Member& m : state_.roster.members) {
-    if (m.address < self_.address && Alive(m.life)) ++before;
+  for (const Member& m : state_.membership.members) {
+    if (m.address < self_.address && IsAlive(m.incarnation)) ++before;
   }
-  if (now - *wish_since_ >= before * kNextInLine && now >= propose_after_) Propose(now, *wish, out);
+  if (now - *change_wanted_since_ >= before * kRankDelay && now >= next_proposal_at_)
+    Propose(now, *desired, out);
 }
 
-void Core::SendProposal(Time now, Out& out) {
-  proposal_->next = now + options_.again;
-  if (proposal_->fetching) return Send(*proposal_->held_by, proposal_->request, Fetch{proposal_->held}, out);
-  Body body = PrepareEpoch{proposal_->ballot};
-  if (proposal_->accepting) body = AcceptEpoch{proposal_->ballot, proposal_->members};
+void Core::SendProposal(Time now, CoreOutput& out) {
+  proposal_->next_send_at = now + options_.resend_interval;
+  if (proposal_->fetching)
+    return Send(*proposal_->held_by, proposal_->request, RecordRequest{proposal_->held}, out);
+  CoreMessageBody body = EpochPrepare{proposal_->ballot};
+  if (proposal_->accepting) body = EpochAccept{proposal_->ballot, proposal_->members};
   SendAll(proposal_->request, body, out);
 }
 
 void Core::FailProposal(Time now) {
   proposal_.reset();
-  propose_after_ = now + milliseconds(100 + random_() % 300);
+  next_proposal_at_ = now + milliseconds(100 + random_() % 300);
 }
 
-bool Core::Answers(Time now, const Life& life) const {
-  auto peer = peers_.find(life);
-  return peer != peers_.end() && peer->second.epoch == state_.roster.epoch &&
-         peer->second.answered != Time{} && now - peer->second.answered <= options_.heard_for;
+bool Core::IsResponsive(Time now, const Incarnation& incarnation) const {
+  auto peer = peers_.find(incarnation);
+  return peer != peers_.end() && peer->second.epoch == state_.membership.epoch &&
+         peer->second.last_answered != Time{} && now - peer->second.last_answered <= options_.response_window;
 }
 
-struct Core::Situation {
-  std::uint32_t answering = 0;  // a bit a member of the roster
-  int dead = -1;                // the member that is dead for the longest time
+struct Core::MembershipSurvey {
+  std::uint32_t responsive_voters = 0;  // one bit per voter
+  int dead = -1;  // the voter that has been dead longest, for at least replace_dead_after; -1: none
   bool all_alive = true;
-  // Alive, heard of late and caught up; those of other machines than the members', the longest there first.
-  std::vector<const Watch*> spares;
-  std::optional<std::pair<std::size_t, const Watch*>> other_disk;  // a member's machine with another disk
+  // Machines other than those of the voters that are alive, heard from recently and caught up; the ones
+  // present longest first.
+  std::vector<const ObservedPeer*> spares;
+  // A voter's index, and its machine as another incarnation that was heard from more recently.
+  std::optional<std::pair<std::size_t, const ObservedPeer*>> replacement;
 };
 
-Forgetting Core::Forget(Time now, const std::string& node, bool forced, Out& out) {
-  const auto& members = state_.roster.members;
-  if (!member() || sealed() || proposal_ || !majority(now) || !Installed()) return Forgetting::kNoMajority;
+ForgetResult Core::Forget(Time now, const std::string& node, bool forced, CoreOutput& out) {
+  const auto& members = state_.membership.members;
+  if (!member() || sealed() || proposal_ || !majority(now) || !IsEpochInstalled())
+    return ForgetResult::kNoMajority;
   auto found = std::find_if(members.begin(), members.end(),
-                            [&node](const Member& each) { return each.life.node == node; });
-  if (found == members.end()) return Forgetting::kNoMember;
-  if (found->life == self_.life) return Forgetting::kItself;
-  // It would be taken in again as soon as it is out.
-  if (Alive(found->life) || Answers(now, found->life)) return Forgetting::kAlive;
-  forgotten_ = Forgotten{found->life, forced, now + options_.forget_for};
-  auto without = WithoutForgotten(now);
-  if (!without) {
-    forgotten_.reset();
-    return Forgetting::kTooFew;
+                            [&node](const Member& each) { return each.incarnation.node == node; });
+  if (found == members.end()) return ForgetResult::kNoMember;
+  if (found->incarnation == self_.incarnation) return ForgetResult::kItself;
+  // It would be added again right after its removal.
+  if (IsAlive(found->incarnation) || IsResponsive(now, found->incarnation)) return ForgetResult::kAlive;
+  forget_order_ = ForgetOrder{found->incarnation, forced, now + options_.forget_timeout};
+  auto remaining = MembersWithoutForgotten(now);
+  if (!remaining) {
+    forget_order_.reset();
+    return ForgetResult::kTooFew;
   }
-  Propose(now, std::move(*without), out);
-  Settle(now, out);
-  return Forgetting::kProposed;
+  Propose(now, std::move(*remaining), out);
+  ProcessPending(now, out);
+  return ForgetResult::kProposed;
 }
 
-// None: the order doesn't hold any more.
-std::optional<std::vector<Member>> Core::WithoutForgotten(Time now) const {
-  const Life& life = forgotten_->life;
-  if (Index(life) < 0 || Alive(life) || Answers(now, life) || !majority(now)) return std::nullopt;
-  std::vector<Member> rest = state_.roster.members;
-  std::erase_if(rest, [&life](const Member& m) { return m.life == life; });
-  bool all = std::all_of(rest.begin(), rest.end(),
-                         [&](const Member& m) { return m.life == self_.life || Answers(now, m.life); });
-  const bool bears = all && rest.size() >= options_.least_members && CompleteAmong(Look(now).answering);
-  if (!forgotten_->forced && !bears) return std::nullopt;
+// The voters without the member that an operator has given up; nullopt: the request is no longer valid.
+std::optional<std::vector<Member>> Core::MembersWithoutForgotten(Time now) const {
+  const Incarnation& incarnation = forget_order_->incarnation;
+  if (MemberIndex(incarnation) < 0 || IsAlive(incarnation) || IsResponsive(now, incarnation) ||
+      !majority(now))
+    return std::nullopt;
+  std::vector<Member> rest = state_.membership.members;
+  std::erase_if(rest, [&incarnation](const Member& m) { return m.incarnation == incarnation; });
+  bool all = std::all_of(rest.begin(), rest.end(), [&](const Member& m) {
+    return m.incarnation == self_.incarnation || IsResponsive(now, m.incarnation);
+  });
+  const bool enough_remain = all && rest.size() >= options_.min_members &&
+                             HasCompleteQuorum(SurveyMembership(now).responsive_voters);
+  if (!forget_order_->forced && !enough_remain) return std::nullopt;
   return rest;
 }
 
-Core::Situation Core::Look(Time now) const {
-  const std::vector<Member>& members = state_.roster.members;
-  Situation seen;
-  Time dead_since{};
+Core::MembershipSurvey Core::SurveyMembership(Time now) const {
+  const std::vector<Member>& members = state_.membership.members;
+  MembershipSurvey seen;
+  Time longest_dead_since{};
   for (std::size_t i = 0; i < members.size(); ++i) {
-    const Life& life = members[i].life;
-    if (life == self_.life || Answers(now, life)) seen.answering |= 1u << i;
-    const auto watch = watch_.find(life);
-    if (life == self_.life || watch == watch_.end() || watch->second.alive) continue;  // or not viewed yet
+    const Incarnation& incarnation = members[i].incarnation;
+    if (incarnation == self_.incarnation || IsResponsive(now, incarnation)) seen.responsive_voters |= 1u << i;
+    const auto observed = observed_.find(incarnation);
+    if (incarnation == self_.incarnation || observed == observed_.end() || observed->second.alive)
+      continue;  // alive, or not in a view yet
     seen.all_alive = false;
-    const Time since = std::max(watch->second.since, HeardFrom(life));
-    if (now - since < options_.dead_for || (seen.dead >= 0 && since >= dead_since)) continue;
+    const Time since = std::max(observed->second.since, LastHeardFrom(incarnation));
+    if (now - since < options_.replace_dead_after || (seen.dead >= 0 && since >= longest_dead_since))
+      continue;
     seen.dead = static_cast<int>(i);
-    dead_since = since;
+    longest_dead_since = since;
   }
-  for (const auto& [life, watch] : watch_) {
-    const Time heard = HeardFrom(life);
-    if (!watch.alive || Index(life) >= 0 || heard == Time{} || now - heard > 2 * options_.heard_for) continue;
-    if (!CaughtUp(life)) continue;  // first it learns what is chosen
+  for (const auto& [incarnation, observed] : observed_) {
+    const Time heard = LastHeardFrom(incarnation);
+    if (!observed.alive || MemberIndex(incarnation) >= 0 || heard == Time{} ||
+        now - heard > 2 * options_.response_window)
+      continue;
+    if (!CaughtUp(incarnation)) continue;  // it first has to learn what is chosen
     bool other = true;
     for (std::size_t i = 0; i < members.size(); ++i) {
-      if (members[i].life.node != life.node && members[i].address != watch.member.address) continue;
+      if (members[i].incarnation.node != incarnation.node && members[i].address != observed.member.address)
+        continue;
       other = false;
-      if (!seen.other_disk && members[i].life != self_.life && heard > HeardFrom(members[i].life))
-        seen.other_disk = {i, &watch};
+      if (!seen.replacement && members[i].incarnation != self_.incarnation &&
+          heard > LastHeardFrom(members[i].incarnation))
+        seen.replacement = {i, &observed};
     }
-    if (other) seen.spares.push_back(&watch);
+    if (other) seen.spares.push_back(&observed);
   }
   std::stable_sort(seen.spares.begin(), seen.spares.end(),
-                   [](const Watch* a, const Watch* b) { return a->since < b->since; });
+                   [](const ObservedPeer* a, const ObservedPeer* b) { return a->since < b->since; });
   return seen;
 }
 
-std::vector<Place> Core::Places() const {
-  std::vector<Place> places;
-  for (const Member& m : state_.roster.members) {
-    const auto watch = watch_.find(m.life);
-    places.push_back(m.life == self_.life ? place_ : watch != watch_.end() ? watch->second.place : Place{});
+std::vector<Location> Core::MemberLocations() const {
+  std::vector<Location> locations;
+  for (const Member& m : state_.membership.members) {
+    const auto observed = observed_.find(m.incarnation);
+    locations.push_back(m.incarnation == self_.incarnation ? location_
+                        : observed != observed_.end()      ? observed->second.location
+                                                           : Location{});
   }
-  return places;
+  return locations;
 }
 
-// The roster that the view calls for; none: this one is right, or isn't in force at a majority yet.
-std::optional<std::vector<Member>> Core::Wish(Time now) const {
-  const std::vector<Member>& members = state_.roster.members;
-  const Situation seen = Look(now);
-  if (!IsQuorum(seen.answering) || !Installed() || !CompleteAmong(seen.answering)) return std::nullopt;
+// The membership that the view calls for. nullopt: the current one is right, or is not installed at a
+// majority yet.
+std::optional<std::vector<Member>> Core::DesiredMembers(Time now) const {
+  const std::vector<Member>& members = state_.membership.members;
+  const MembershipSurvey seen = SurveyMembership(now);
+  if (!IsQuorum(seen.responsive_voters) || !IsEpochInstalled() || !HasCompleteQuorum(seen.responsive_voters))
+    return std::nullopt;
   std::vector<Member> next = members;
-  if (seen.other_disk) {
-    next[seen.other_disk->first] = seen.other_disk->second->member;
+  if (seen.replacement) {
+    next[seen.replacement->first] = seen.replacement->second->member;
     return next;
   }
-  std::vector<Place> spares;
-  for (const Watch* spare : seen.spares) spares.push_back(spare->place);
+  std::vector<Location> spares;
+  for (const ObservedPeer* spare : seen.spares) spares.push_back(spare->location);
   const auto dead = static_cast<std::size_t>(std::max(0, seen.dead));
   if (seen.dead >= 0 && !spares.empty()) {
-    next[dead] = seen.spares[*BestSpare(Places(), spares, options_.spread, dead)]->member;
+    next[dead] = seen.spares[*BestSpare(MemberLocations(), spares, options_.wanted_tolerance, dead)]->member;
     return next;
   }
-  // Not while another is away: a smaller roster can bear less.
-  const auto answering = static_cast<std::size_t>(std::popcount(seen.answering));
-  if (seen.dead >= 0 && members.size() > state_.roster.first_size && answering + 1 == members.size()) {
+  // Not while another voter is unresponsive: a smaller membership may tolerate less.
+  const auto responsive = static_cast<std::size_t>(std::popcount(seen.responsive_voters));
+  if (seen.dead >= 0 && members.size() > state_.membership.initial_size && responsive + 1 == members.size()) {
     next.erase(next.begin() + seen.dead);
     return next;
   }
-  // Views lag: who doesn't answer may be lost already, and a larger roster asks for more of the rest.
-  if (!seen.all_alive || answering != members.size()) return std::nullopt;
-  return WishForSpread(now, seen);
+  // Views lag: an unresponsive voter may be lost already, and a larger membership would need more of the
+  // others.
+  if (!seen.all_alive || responsive != members.size()) return std::nullopt;
+  return DesiredMembersForTolerance(now, seen);
 }
 
-// All are there: one is exchanged, or goes, where that puts the spread right, or one more comes.
-std::optional<std::vector<Member>> Core::WishForSpread(Time now, const Situation& seen) const {
-  const std::vector<Place> places = Places();
-  std::vector<Member> next = state_.roster.members;
-  std::vector<Place> spares;
-  std::vector<const Watch*> settled;  // a view of them that has just changed may change again
-  for (const Watch* spare : seen.spares) {
+// All voters respond: replaces or removes one if that improves the fault tolerance, or adds one.
+std::optional<std::vector<Member>> Core::DesiredMembersForTolerance(Time now,
+                                                                    const MembershipSurvey& seen) const {
+  const std::vector<Location> locations = MemberLocations();
+  std::vector<Member> next = state_.membership.members;
+  std::vector<Location> spares;
+  // Spares that are present for long enough; a recent change may be reversed soon.
+  std::vector<const ObservedPeer*> stable_spares;
+  for (const ObservedPeer* spare : seen.spares) {
     if (now - spare->since < options_.grow_after) continue;
-    settled.push_back(spare);
-    spares.push_back(spare->place);
+    stable_spares.push_back(spare);
+    spares.push_back(spare->location);
   }
-  const auto self = static_cast<std::size_t>(Index(self_.life));
-  const auto change = BetterPlacement(places, spares, options_.spread, self, options_.least_members);
+  const auto self = static_cast<std::size_t>(MemberIndex(self_.incarnation));
+  const auto change =
+      BetterPlacement(locations, spares, options_.wanted_tolerance, self, options_.min_members);
   if (change && change->in) {
-    next[*change->out] = settled[*change->in]->member;
+    next[*change->out] = stable_spares[*change->in]->member;
     return next;
   }
   if (change) {
     next.erase(next.begin() + static_cast<std::ptrdiff_t>(*change->out));
     return next;
   }
-  const auto more = BestSpare(places, spares, options_.spread, std::nullopt);
-  if (!more || next.size() >= kMostMembers) return std::nullopt;
-  std::vector<Place> grown = places;
-  grown.push_back(spares[*more]);
-  if (ExcessOf(grown, options_.spread) > ExcessOf(places, options_.spread)) return std::nullopt;
-  next.push_back(settled[*more]->member);
+  const auto addition = BestSpare(locations, spares, options_.wanted_tolerance, std::nullopt);
+  if (!addition || next.size() >= kMaxMembers) return std::nullopt;
+  std::vector<Location> extended = locations;
+  extended.push_back(spares[*addition]);
+  if (PlacementExcess(extended, options_.wanted_tolerance) >
+      PlacementExcess(locations, options_.wanted_tolerance))
+    return std::nullopt;
+  next.push_back(stable_spares[*addition]->member);
   return next;
 }
 
-void Core::Propose(Time now, std::vector<Member> members, Out& out) {
-  Proposal proposal;
+void Core::Propose(Time now, std::vector<Member> members, CoreOutput& out) {
+  EpochProposal proposal;
   proposal.ballot = {++highest_round_, random_()};
   proposal.request = next_id_++;
   proposal.members = std::move(members);
@@ -264,25 +294,25 @@
   SendProposal(now, out);
 }
 
-void Core::OnPrepareEpoch(const Message& m, const PrepareEpoch& prepare, Out& out) {
+void Core::OnEpochPrepare(const CoreMessage& m, const EpochPrepare& prepare, CoreOutput& out) {
   highest_round_ = std::max(highest_round_, prepare.ballot.round);
   const bool ok = prepare.ballot >= state_.promised;
   if (prepare.ballot > state_.promised) {
     state_.promised = prepare.ballot;
-    if (!Does(Options::Fault::kBallotForgotten)) Changed();
+    if (!HasFault(CoreOptions::Fault::kPromiseNotPersisted)) MarkStateChanged();
   }
-  Reply(m, EpochPromised{ok, state_.promised, state_.accepted}, out);
+  Reply(m, EpochPromise{ok, state_.promised, state_.accepted}, out);
 }
 
-void Core::OnEpochPromised(Time now, const Message& m, const EpochPromised& promised, Out& out) {
+void Core::OnEpochPromise(Time now, const CoreMessage& m, const EpochPromise& promised, CoreOutput& out) {
   highest_round_ = std::max(highest_round_, promised.ballot.round);
   if (!proposal_ || proposal_->request != m.id || proposal_->accepting) return;
   if (!promised.ok || promised.ballot != proposal_->ballot) return FailProposal(now);
-  proposal_->votes |= 1u << Index(m.from.life);
+  proposal_->votes |= 1u << MemberIndex(m.from.incarnation);
   if (promised.accepted && (!proposal_->best || promised.accepted->ballot > proposal_->best->ballot)) {
     proposal_->best = promised.accepted;
   }
-  if (!Does(Options::Fault::kEpochAlone) && !IsQuorum(proposal_->votes)) return;
+  if (!HasFault(CoreOptions::Fault::kEpochWithoutQuorum) && !IsQuorum(proposal_->votes)) return;
   if (proposal_->best) proposal_->members = proposal_->best->members;
   proposal_->accepting = true;
   proposal_->votes = 0;
@@ -290,8 +320,9 @@
   SendProposal(now, out);
 }
 
-// From here on this epoch is sealed here: its register takes nothing more, so what is told stays the highest.
-void Core::OnAcceptEpoch(Time now, const Message& m, const AcceptEpoch& accept, Out& out) {
+// Accepting a successor seals this epoch here: its register accepts nothing more, so the record reported
+// in the reply remains the highest.
+void Core::OnEpochAccept(Time now, const CoreMessage& m, const EpochAccept& accept, CoreOutput& out) {
   highest_round_ = std::max(highest_round_, accept.ballot.round);
   if (accept.members.empty()) {
     ++dropped_;
@@ -300,113 +331,119 @@
   const bool ok = accept.ballot >= state_.promised;
   if (ok && (!state_.accepted || state_.accepted->ballot != accept.ballot)) {
     state_.promised = accept.ballot;
-    state_.accepted = Accepting{accept.ballot, accept.members};
+    state_.accepted = AcceptedProposal{accept.ballot, accept.members};
     sealed_since_ = now;
-    Changed();
+    MarkStateChanged();
   }
   Reply(m, EpochAccepted{ok, state_.promised, state_.stamp}, out);
 }
 
-void Core::OnEpochAccepted(Time now, const Message& m, const EpochAccepted& accepted, Out& out) {
+void Core::OnEpochAccepted(Time now, const CoreMessage& m, const EpochAccepted& accepted, CoreOutput& out) {
   highest_round_ = std::max(highest_round_, accepted.ballot.round);
   if (!proposal_ || proposal_->request != m.id || !proposal_->accepting || proposal_->fetching) return;
   if (!accepted.ok) return FailProposal(now);
-  proposal_->votes |= 1u << Index(m.from.life);
+  proposal_->votes |= 1u << MemberIndex(m.from.incarnation);
   if (!proposal_->held_by || accepted.held > proposal_->held) {
     proposal_->held = accepted.held;
     proposal_->held_by = m.from;
   }
-  if (!Does(Options::Fault::kEpochAlone) && !IsQuorum(proposal_->votes)) return;
+  if (!HasFault(CoreOptions::Fault::kEpochWithoutQuorum) && !IsQuorum(proposal_->votes)) return;
   if (proposal_->held <= committed_stamp_) return ChooseEpoch(now, committed_, committed_stamp_, out);
-  if (proposal_->held == state_.stamp) return ChooseEpoch(now, held_, state_.stamp, out);
+  if (proposal_->held == state_.stamp) return ChooseEpoch(now, held_record_, state_.stamp, out);
   proposal_->fetching = true;
   proposal_->request = next_id_++;
   SendProposal(now, out);
 }
 
-// The successor is chosen, and `record` is what it begins with. All of the new voters are told, and those
-// that are out.
-void Core::ChooseEpoch(Time now, RecordPtr record, const Stamp& stamp, Out& out) {
-  std::vector<Member> next = proposal_->members, last = state_.roster.members;
-  Adopt(now, {state_.roster.epoch + 1, next, state_.roster.first_size}, std::move(record), stamp, out);
+// The successor is chosen and starts with `record`. Sends it to all new voters, and to the removed ones.
+void Core::ChooseEpoch(Time now, RecordPtr record, const Stamp& stamp, CoreOutput& out) {
+  std::vector<Member> next = proposal_->members, last = state_.membership.members;
+  EnterEpoch(now, {state_.membership.epoch + 1, next, state_.membership.initial_size}, std::move(record),
+             stamp, out);
   for (const Member& to : last) {
-    if (!Holds(next, to.life)) next.push_back(to);
+    if (!ContainsIncarnation(next, to.incarnation)) next.push_back(to);
   }
   for (const Member& to : next) {
-    if (to.life != self_.life) Bring(now, to, out);  // waits for its own disk
+    if (to.incarnation != self_.incarnation)
+      SendInstallEpoch(now, to, out);  // held back until it is synced here
   }
 }
 
 // ---- Redundancy ----
 
-bool Core::HasTold(const Life& life, const Stamp& stamp) const {
-  const std::uint64_t epoch = state_.roster.epoch;
-  if (life == self_.life) return written_epoch_ == epoch && written_stamp_ >= stamp;
-  const auto holding = holdings_.find(life);
-  return holding != holdings_.end() && holding->second.epoch == epoch && holding->second.stamp >= stamp;
+bool Core::HasReported(const Incarnation& incarnation, const Stamp& stamp) const {
+  const std::uint64_t epoch = state_.membership.epoch;
+  if (incarnation == self_.incarnation) return written_epoch_ == epoch && written_stamp_ >= stamp;
+  const auto holding = reported_records_.find(incarnation);
+  return holding != reported_records_.end() && holding->second.epoch == epoch &&
+         holding->second.stamp >= stamp;
 }
 
-// Changes may come faster than what is told of them. A successor's InstallEpoch brings the rest.
-bool Core::CaughtUp(const Life& life) const {
-  return HasTold(life, committed_before_.empty() ? committed_stamp_ : committed_before_.front());
+// Records may change faster than they are reported. The InstallEpoch of a successor carries the rest.
+bool Core::CaughtUp(const Incarnation& incarnation) const {
+  return HasReported(incarnation, recent_committed_.empty() ? committed_stamp_ : recent_committed_.front());
 }
 
-// Told in this epoch, synced. Answers may be late: what is held only rises.
-void Core::NoteHolding(const Life& life, const Stamp& stamp) {
-  if (life == self_.life) return;
-  Holding& holding = holdings_[life];
-  if (holding.epoch != state_.roster.epoch) holding = {state_.roster.epoch, stamp};
+// Notes what a member reports to have on disk in this epoch. Replies may arrive late, but what is held only
+// grows.
+void Core::UpdateReportedRecord(const Incarnation& incarnation, const Stamp& stamp) {
+  if (incarnation == self_.incarnation) return;
+  ReportedRecord& holding = reported_records_[incarnation];
+  if (holding.epoch != state_.membership.epoch) holding = {state_.membership.epoch, stamp};
   holding.stamp = std::max(holding.stamp, stamp);
 }
 
-bool Core::Installed() const {
-  if (Does(Options::Fault::kChangeEarly)) return true;
-  std::uint32_t installed = 0;
-  for (std::size_t i = 0; i < state_.roster.members.size(); ++i) {
-    const Life& life = state_.roster.members[i].life;
-    const auto holding = holdings_.find(life);
-    const bool told = holding != holdings_.end() && holding->second.epoch == state_.roster.epoch;
-    const bool own = life == self_.life && written_epoch_ == state_.roster.epoch;
-    if (told || own) installed |= 1u << i;
+bool Core::IsEpochInstalled() const {
+  if (HasFault(CoreOptions::Fault::kChangeBeforeInstall)) return true;
+  std::uint32_t installed_epoch = 0;
+  for (std::size_t i = 0; i < state_.membership.members.size(); ++i) {
+    const Incarnation& incarnation = state_.membership.members[i].incarnation;
+    const auto holding = reported_records_.find(incarnation);
+    const bool reported =
+        holding != reported_records_.end() && holding->second.epoch == state_.membership.epoch;
+    const bool own = incarnation == self_.incarnation && written_epoch_ == state_.membership.epoch;
+    if (reported || own) installed_epoch |= 1u << i;
   }
-  return IsQuorum(installed);
+  return IsQuorum(installed_epoch);
 }
 
-void Core::SetComplete(std::uint64_t epoch, std::vector<Life> members) {
-  if (epoch == state_.roster.epoch) complete_ = {epoch, std::move(members)};
+void Core::SetCompleteMembers(std::uint64_t epoch, std::vector<Incarnation> members) {
+  if (epoch == state_.membership.epoch) complete_members_ = {epoch, std::move(members)};
 }
 
-bool Core::IsComplete(const Life& life) const {
-  if (!options_.waits_for_complete) return true;
-  if (complete_.epoch != state_.roster.epoch) return false;
-  return std::find(complete_.members.begin(), complete_.members.end(), life) != complete_.members.end();
+bool Core::IsComplete(const Incarnation& incarnation) const {
+  if (!options_.wait_for_complete) return true;
+  if (complete_members_.epoch != state_.membership.epoch) return false;
+  return std::find(complete_members_.members.begin(), complete_members_.members.end(), incarnation) !=
+         complete_members_.members.end();
 }
 
-// A member that is complete but lost can't tell the next epoch what it knew: only those that answer count.
-bool Core::CompleteAmong(std::uint32_t answering) const {
-  if (Does(Options::Fault::kChangeIncomplete)) return true;
+// A lost member cannot pass on what it knew, however complete it was: only responsive ones count.
+bool Core::HasCompleteQuorum(std::uint32_t responsive_voters) const {
+  if (HasFault(CoreOptions::Fault::kChangeBeforeComplete)) return true;
   std::uint32_t complete = 0;
-  for (std::size_t i = 0; i < state_.roster.members.size(); ++i) {
-    const bool answers = (answering >> i & 1) != 0;
-    if (answers && IsComplete(state_.roster.members[i].life)) complete |= 1u << i;
+  for (std::size_t i = 0; i < state_.membership.members.size(); ++i) {
+    const bool responds = (responsive_voters >> i & 1) != 0;
+    if (responds && IsComplete(state_.membership.members[i].incarnation)) complete |= 1u << i;
   }
   return IsQuorum(complete);
 }
 
-// What was accepted here may be chosen, whether this one has heard of it or not. As many others hold it as
-// make a majority without this one (all of them, of two): what the core bears, it bears then. Who has told
-// that it holds it may be lost by now, so fewer won't do.
+// What this member has accepted may be chosen even if it does not know that. The handover is complete when as
+// many other voters hold it as form a majority (all of them if there are two): the core then tolerates as
+// many losses as before. Fewer are not enough, because a voter that has reported to hold it may be lost by
+// now.
 bool Core::HandedOver(Time now) const { return HandedOver(now, state_.stamp); }
 
 bool Core::HandedOver(Time now, const Stamp& stamp) const {
-  if (!member() || Does(Options::Fault::kLeaveEarly)) return true;
-  const std::size_t size = state_.roster.members.size();
+  if (!member() || HasFault(CoreOptions::Fault::kLeaveBeforeHandover)) return true;
+  const std::size_t size = state_.membership.members.size();
   std::size_t holders = 0;
-  for (const Member& m : state_.roster.members) {
-    if (m.life == self_.life) continue;
-    if (HasTold(m.life, stamp)) {
+  for (const Member& m : state_.membership.members) {
+    if (m.incarnation == self_.incarnation) continue;
+    if (HasReported(m.incarnation, stamp)) {
       ++holders;
-    } else if (Answers(now, m.life)) {
+    } else if (IsResponsive(now, m.incarnation)) {
       return false;
     }
   }
@@ -415,17 +452,17 @@
 
 CoreStatus Core::Status(Time now) const {
   CoreStatus status;
-  status.epoch = state_.roster.epoch;
+  status.epoch = state_.membership.epoch;
   int caught_up = 0;
-  for (const Member& m : state_.roster.members) {
-    const bool answers = m.life == self_.life || Answers(now, m.life);
-    const bool holds = CaughtUp(m.life) && IsComplete(m.life);
+  for (const Member& m : state_.membership.members) {
+    const bool answers = m.incarnation == self_.incarnation || IsResponsive(now, m.incarnation);
+    const bool holds = CaughtUp(m.incarnation) && IsComplete(m.incarnation);
     status.voters.push_back({m, answers, holds});
     caught_up += answers && holds ? 1 : 0;
   }
-  status.spread = SpreadOf(Places());
-  status.wanted = options_.spread;
-  status.further_losses = caught_up - static_cast<int>(state_.roster.members.size() / 2 + 1);
+  status.tolerance = FaultToleranceOf(MemberLocations());
+  status.wanted = options_.wanted_tolerance;
+  status.further_losses = caught_up - static_cast<int>(state_.membership.members.size() / 2 + 1);
   return status;
 }
 
--- a/src/agreement/outcome_log.cpp
+++ b/src/agreement/outcome_log.cpp
@@ -4,42 +4,44 @@
 
 namespace curlewdoor::agreement {
 
-const OrderOutcome* Ledger::Find(std::uint64_t version) const {
+const PutOutcome* OutcomeLog::Find(std::uint64_t version) const {
   const auto found = std::find_if(entries.rbegin(), entries.rend(),
-                                  [version](const OrderOutcome& each) { return each.version == version; });
+                                  [version](const PutOutcome& each) { return each.version == version; });
   return found == entries.rend() ? nullptr : &*found;
 }
 
-void Ledger::Append(const OrderOutcome& outcome) {
+void OutcomeLog::Append(const PutOutcome& outcome) {
   entries.push_back(outcome);
-  if (entries.size() <= kOutcomesKept) return;
-  forgotten_below = std::max(forgotten_below, entries.front().version);
+  if (entries.size() <= kMaxOutcomes) return;
+  highest_evicted = std::max(highest_evicted, entries.front().version);
   entries.erase(entries.begin());
   ++first;
 }
 
-Record RecordOf(Value value, Ledger ledger) {
+Record MakeRecord(ConfigValue value, OutcomeLog outcomes) {
   const Digest digest = value.version == 0 ? Digest{} : ContentDigest(value.text);
-  return {std::move(value), digest, std::move(ledger)};
+  return {std::move(value), digest, std::move(outcomes)};
 }
 
-Verdict Judge(const Record& record, std::uint64_t version, const Digest& digest) {
-  if (version == record.value.version) return digest == record.digest ? Verdict::kAgain : Verdict::kConflict;
-  if (const OrderOutcome* known = record.ledger.Find(version))
-    return digest == known->digest ? Verdict::kAgain : Verdict::kConflict;
-  if (version > record.value.version) return Verdict::kTaken;
-  return version <= record.ledger.forgotten_below ? Verdict::kForgotten : Verdict::kOvertaken;
+PutDecision DecidePut(const Record& record, std::uint64_t version, const Digest& digest) {
+  if (version == record.value.version)
+    return digest == record.digest ? PutDecision::kDuplicate : PutDecision::kConflict;
+  if (const PutOutcome* known = record.outcome_log.Find(version))
+    return digest == known->digest ? PutDecision::kDuplicate : PutDecision::kConflict;
+  if (version > record.value.version) return PutDecision::kApplied;
+  return version <= record.outcome_log.highest_evicted ? PutDecision::kUnknown
+                                                       : PutDecision::kRecordedWithoutEffect;
 }
 
-Verdict Apply(Record& record, const Value& order, const Digest& digest) {
-  const Verdict verdict = Judge(record, order.version, digest);
-  if (!Changes(verdict)) return verdict;
-  record.ledger.Append({order.version, digest, verdict == Verdict::kTaken});
-  if (verdict == Verdict::kTaken) {
-    record.value = order;
+PutDecision ApplyPut(Record& record, const ConfigValue& put_value, const Digest& digest) {
+  const PutDecision decision = DecidePut(record, put_value.version, digest);
+  if (!AddsOutcome(decision)) return decision;
+  record.outcome_log.Append({put_value.version, digest, decision == PutDecision::kApplied});
+  if (decision == PutDecision::kApplied) {
+    record.value = put_value;
     record.digest = digest;
   }
-  return verdict;
+  return decision;
 }
 
 }  // namespace curlewdoor::agreement
--- a/src/agreement/outcome_log.hpp
+++ b/src/agreement/outcome_log.hpp
@@ -1,5 +1,5 @@
-// The record that the register keeps: the configuration in force and what became of the last orders. Pure
-// values; how one of them is agreed on stands in core.hpp.
+// The record that the register keeps: the configuration in force and the outcomes of recent puts. Plain
+// values only; core.hpp describes how a record is agreed on.
 #pragma once
 
 #include <cstddef>
@@ -12,56 +12,62 @@
 
 namespace curlewdoor::agreement {
 
-constexpr std::size_t kOutcomesKept = 4096;
-constexpr std::size_t kOutcomesPerPage = 64;  // of one record on the disk
+constexpr std::size_t kMaxOutcomes = 4096;
+constexpr std::size_t kOutcomesPerPage = 64;  // per stored record
 
-// The configuration. Version 0: none.
-struct Value {
+/// A version of the configuration. Version 0: none.
+struct ConfigValue {
   std::uint64_t version = 0;
   std::string text;
-  bool operator==(const Value&) const = default;
+  bool operator==(const ConfigValue&) const = default;
 };
 
-// What became of one order: its number belongs to this content for good.
-struct OrderOutcome {
+/// The outcome of one put: its version permanently belongs to this content.
+struct PutOutcome {
   std::uint64_t version = 0;
   Digest digest;
-  bool took_effect = false;  // false: a higher version was in force when it was decided
-  bool operator==(const OrderOutcome&) const = default;
+  bool took_effect = false;  // false: a higher version was in force when the put was decided
+  bool operator==(const PutOutcome&) const = default;
 };
 
-// The last outcomes, oldest first, numbered from `first`. Bounded: the oldest one makes room.
-struct Ledger {
+/// The most recent outcomes, oldest first, numbered from `first`. Bounded: the oldest one is evicted.
+struct OutcomeLog {
   std::uint64_t first = 0;
-  std::uint64_t forgotten_below = 0;  // the highest version that was dropped
-  std::vector<OrderOutcome> entries;
+  std::uint64_t highest_evicted = 0;  // the highest version that was evicted
+  std::vector<PutOutcome> entries;
 
   std::uint64_t end() const { return first + entries.size(); }
-  const OrderOutcome* Find(std::uint64_t version) const;
-  void Append(const OrderOutcome& outcome);
-  bool operator==(const Ledger&) const = default;
+  const PutOutcome* Find(std::uint64_t version) const;
+  void Append(const PutOutcome& outcome);
+  bool operator==(const OutcomeLog&) const = default;
 };
 
+/// The content of the register.
 struct Record {
-  Value value;
+  ConfigValue value;
   Digest digest;  // of value.text
-  Ledger ledger;
+  OutcomeLog outcome_log;
   bool operator==(const Record&) const = default;
 };
-Record RecordOf(Value value, Ledger ledger);
+/// Builds a record and computes its digest.
+Record MakeRecord(ConfigValue value, OutcomeLog outcomes);
 
-enum class Verdict : std::uint8_t {
-  kTaken,      // its number is above all: it is the value from now on
-  kOvertaken,  // a number that nobody used, below the value's: recorded, without effect
-  kAgain,      // this number and content were decided before
-  kConflict,   // the number belongs to another content
-  kForgotten   // an old number whose outcome isn't kept any more: neither confirmed nor refused
+/// How a put relates to a record.
+enum class PutDecision : std::uint8_t {
+  kApplied,                // its version is the highest: it becomes the value
+  kRecordedWithoutEffect,  // an unused version below that of the value: recorded, without effect
+  kDuplicate,              // this version was decided before, with the same content
+  kConflict,               // the version belongs to another content
+  kUnknown                 // an old version with an evicted outcome: neither confirmed nor refused
 };
-// Whether the verdict adds an outcome to the record.
-inline bool Changes(Verdict verdict) { return verdict == Verdict::kTaken || verdict == Verdict::kOvertaken; }
+/// Whether the decision adds an outcome to the record.
+inline bool AddsOutcome(PutDecision decision) {
+  return decision == PutDecision::kApplied || decision == PutDecision::kRecordedWithoutEffect;
+}
 
-Verdict Judge(const Record& record, std::uint64_t version, const Digest& digest);
-// Judge() and, where that changes something, the record as it is afterwards.
-Verdict Apply(Record& record, const Value& order, const Digest& digest);
+/// Decides a put without changing the record.
+PutDecision DecidePut(const Record& record, std::uint64_t version, const Digest& digest);
+/// Decides a put, and updates the record if the decision changes it.
+PutDecision ApplyPut(Record& record, const ConfigValue& put_value, const Digest& digest);
 
 }  // namespace curlewdoor::agreement
--- a/src/agreement/package.cmake
+++ b/src/agreement/package.cmake
@@ -1,4 +1,4 @@
-# The core: epochs of members and the configuration that they keep. Pure.
+# The core: epochs of members and the configuration that they keep. Pure logic without I/O.
 add_library(curlewdoor_agreement STATIC
   src/agreement/initial_epoch.cpp src/agreement/codec.cpp src/agreement/core.cpp src/agreement/bootstrapper.cpp
   src/agreement/outcome_log.cpp
@@ -14,6 +14,6 @@
   system_test(bootstrap_model_check_test tests/agreement/bootstrap_model_check_test.cpp curlewdoor_agreement)
   system_test(agreement_model_check_test tests/agreement/model_check_test.cpp curlewdoor_agreement)
 endif()
-if(CURLEWDOOR_TESTS)  # the longest: begun first
+if(CURLEWDOOR_TESTS)  # the longest test starts first
   set_tests_properties(agreement_test_no_seed_breaks_a_promise PROPERTIES COST 1000 TIMEOUT 600)
 endif()
--- a/src/agreement/snapshots.cpp
+++ b/src/agreement/snapshots.cpp
@@ -1,4 +1,5 @@
-// Whole records on their way: to who is behind, and to who needs the record of one stamp.
+// Transfer of whole records: to processes that are behind, and to those that need the record of a given
+// stamp.
 #include <algorithm>
 
 #include "agreement/core.hpp"
@@ -10,19 +11,20 @@
 
 namespace {
 
-constexpr auto kBringAgain = milliseconds(300);  // an epoch, to one that is behind
-constexpr auto kFetchAgain = milliseconds(100);  // a record that is known to be chosen
-constexpr auto kPauseOfAByte = microseconds(8);  // snapshots to one machine: 125 KB a second at most
-constexpr std::size_t kBytesOfOutcome = 25;
+constexpr auto kInstallInterval = milliseconds(300);        // between InstallEpoch messages to one peer
+constexpr auto kRecordRequestInterval = milliseconds(100);  // between record requests to one peer
+constexpr auto kSnapshotPausePerByte = microseconds(8);     // limits snapshots to one machine to 125 KB/s
+constexpr std::size_t kOutcomeSize = 25;
 
 std::size_t SizeOf(const Record& record) {
-  return record.value.text.size() + record.ledger.entries.size() * kBytesOfOutcome;
+  return record.value.text.size() + record.outcome_log.entries.size() * kOutcomeSize;
 }
 
-Duration PauseAfter(const Record& record) { return static_cast<int>(SizeOf(record)) * kPauseOfAByte; }
+Duration PauseAfter(const Record& record) { return static_cast<int>(SizeOf(record)) * kSnapshotPausePerByte; }
 
-// The number below which both hold the same outcomes, as far as `after` holds them; 0: none of them.
-std::uint64_t CommonBelow(const Ledger& before, const Ledger& after) {
+// The number below which both logs hold the same outcomes, as far as `after` still holds them; 0: none in
+// common.
+std::uint64_t CommonBelow(const OutcomeLog& before, const OutcomeLog& after) {
   if (after.first < before.first || after.first > before.end()) return 0;
   const auto old = before.entries.begin() + static_cast<std::ptrdiff_t>(after.first - before.first);
   const auto differ = std::mismatch(old, before.entries.end(), after.entries.begin(), after.entries.end());
@@ -31,56 +33,58 @@
 
 }  // namespace
 
-// What this one holds now is `record`, which need not be made from what it held before.
-void Core::Replace(RecordPtr record, const Stamp& stamp) {
-  const std::uint64_t common = CommonBelow(held_->ledger, record->ledger);
-  const bool value_changed = !(record->value == held_->value);
-  Hold(std::move(record), stamp, common, value_changed);
+// Replaces the held record by one that need not be derived from it.
+void Core::ReplaceHeldRecord(RecordPtr record, const Stamp& stamp) {
+  const std::uint64_t common = CommonBelow(held_record_->outcome_log, record->outcome_log);
+  const bool value_changed = !(record->value == held_record_->value);
+  SetHeldRecord(std::move(record), stamp, common, value_changed);
 }
 
 Core::RecordPtr Core::Snapshot(RecordPtr record) const {
-  if (!Does(Options::Fault::kForgetOutcomes)) return record;
-  return std::make_shared<Record>(RecordOf(record->value, {}));
+  if (!HasFault(CoreOptions::Fault::kSnapshotWithoutOutcomes)) return record;
+  return std::make_shared<Record>(MakeRecord(record->value, {}));
 }
 
-void Core::Bring(Time now, const Member& to, Out& out) {
-  InstallEpoch install{state_.roster.members, state_.roster.first_size, state_.stamp, {}};
-  const auto known = holdings_.find(to.life);
-  bool is_held = known != holdings_.end() && known->second.stamp == state_.stamp;
-  if (Peer* peer = FindPeer(to.life)) {
-    const Duration pause = kBringAgain + (peer->brought_short ? Duration{} : PauseAfter(*held_));
-    if (peer->brought != Time{} && now - peer->brought < pause) return;
-    is_held = is_held && !peer->brought_short;
-    peer->brought = now;
-    peer->brought_short = is_held;
+void Core::SendInstallEpoch(Time now, const Member& to, CoreOutput& out) {
+  InstallEpoch install{state_.membership.members, state_.membership.initial_size, state_.stamp, {}};
+  const auto known = reported_records_.find(to.incarnation);
+  bool is_held = known != reported_records_.end() && known->second.stamp == state_.stamp;
+  if (Peer* peer = FindPeer(to.incarnation)) {
+    const Duration pause =
+        kInstallInterval + (peer->install_without_record ? Duration{} : PauseAfter(*held_record_));
+    if (peer->install_sent_at != Time{} && now - peer->install_sent_at < pause) return;
+    is_held = is_held && !peer->install_without_record;
+    peer->install_sent_at = now;
+    peer->install_without_record = is_held;
   }
-  if (!is_held) install.record = *Snapshot(held_);
+  if (!is_held) install.record = *Snapshot(held_record_);
   SendSynced(to, 0, std::move(install), out);
 }
 
-// Without the record, and it isn't held here: that one is told that this one is still behind, and sends all.
-void Core::OnInstall(Time now, const Message& m, const InstallEpoch& install, Out& out) {
+// An install without the record is ignored if the record is not held here: the status reply then shows the
+// sender that this process is still behind, and the sender includes the record.
+void Core::OnInstallEpoch(Time now, const CoreMessage& m, const InstallEpoch& install, CoreOutput& out) {
   if (install.members.empty()) {
     ++dropped_;
     return;
   }
   if (!install.record && install.stamp != state_.stamp) return;
-  RecordPtr record = install.record ? std::make_shared<Record>(*install.record) : held_;
-  Adopt(now, {m.epoch, install.members, install.first_size}, std::move(record), install.stamp, out);
+  RecordPtr record = install.record ? std::make_shared<Record>(*install.record) : held_record_;
+  EnterEpoch(now, {m.epoch, install.members, install.initial_size}, std::move(record), install.stamp, out);
 }
 
-void Core::OnFetch(Time now, const Message& m, const Fetch& fetch, Out& out) {
+void Core::OnRecordRequest(Time now, const CoreMessage& m, const RecordRequest& fetch, CoreOutput& out) {
   const bool chosen = fetch.stamp <= committed_stamp_;
   if (!chosen && fetch.stamp != state_.stamp) return;
-  const RecordPtr record = chosen ? committed_ : held_;
-  if (Peer* peer = FindPeer(m.from.life); peer != nullptr && m.from.life != self_.life) {
-    if (peer->fetched != Time{} && now - peer->fetched < PauseAfter(*record)) return;
-    peer->fetched = now;
+  const RecordPtr record = chosen ? committed_ : held_record_;
+  if (Peer* peer = FindPeer(m.from.incarnation); peer != nullptr && m.from.incarnation != self_.incarnation) {
+    if (peer->record_sent_at != Time{} && now - peer->record_sent_at < PauseAfter(*record)) return;
+    peer->record_sent_at = now;
   }
-  Send(m.from, m.id, Fetched{chosen ? committed_stamp_ : state_.stamp, chosen, *Snapshot(record)}, out);
+  Send(m.from, m.id, RecordReply{chosen ? committed_stamp_ : state_.stamp, chosen, *Snapshot(record)}, out);
 }
 
-void Core::OnFetched(Time now, const Message& m, const Fetched& fetched, Out& out) {
+void Core::OnRecordReply(Time now, const CoreMessage& m, const RecordReply& fetched, CoreOutput& out) {
   const RecordPtr record = std::make_shared<Record>(fetched.record);
   const bool found_chosen = std::any_of(calls_.begin(), calls_.end(), [&](const Call& call) {
     return call.phase == Phase::kFetch && call.target == fetched.stamp;
@@ -90,35 +94,37 @@
   for (const Call& call : calls_) {
     if (call.phase == Phase::kFetch && call.target <= committed_stamp_) found.push_back(call.key);
   }
-  for (std::uint64_t key : found) Resolve(now, key, out);
+  for (std::uint64_t key : found) ResolveCall(now, key, out);
   if (attempt_ && attempt_->phase == Phase::kFetch && attempt_->request == m.id &&
       attempt_->best == fetched.stamp)
-    Evaluate(now, record, out);
+    ProposeNextRecord(now, record, out);
   if (proposal_ && proposal_->fetching && proposal_->request == m.id && fetched.stamp >= proposal_->held)
     ChooseEpoch(now, record, fetched.stamp, out);
 }
 
-// Another one knows this to be chosen.
-void Core::Note(Time now, const Member& from, const Stamp& committed, Out& out) {
+// A peer reports that this record is chosen.
+void Core::OnCommittedReport(Time now, const Member& from, const Stamp& committed, CoreOutput& out) {
   if (committed <= committed_stamp_) return;
-  if (committed == state_.stamp) return Commit(held_, committed, out);
-  Peer* peer = FindPeer(from.life);
-  if (peer == nullptr || (peer->asked != Time{} && now - peer->asked < kFetchAgain)) return;
-  peer->asked = now;
-  Send(from, next_id_++, Fetch{committed}, out);
+  if (committed == state_.stamp) return Commit(held_record_, committed, out);
+  Peer* peer = FindPeer(from.incarnation);
+  if (peer == nullptr ||
+      (peer->record_requested_at != Time{} && now - peer->record_requested_at < kRecordRequestInterval))
+    return;
+  peer->record_requested_at = now;
+  Send(from, next_id_++, RecordRequest{committed}, out);
 }
 
-// A chosen record may be held as if it had been accepted here: every ballot from now on finds it or one made
-// from it with a majority anyway.
-void Core::Commit(RecordPtr record, const Stamp& stamp, Out& out) {
+// A chosen record may be held as if it had been accepted here: every later ballot finds it, or a record
+// derived from it, at a majority anyway.
+void Core::Commit(RecordPtr record, const Stamp& stamp, CoreOutput& out) {
   if (stamp <= committed_stamp_) return;
   if (!(record->value == committed_->value)) out.committed_changed = true;
   committed_ = record;
   committed_stamp_ = stamp;
   if (stamp <= state_.stamp) return;
-  if (stamp.epoch == state_.roster.epoch)
+  if (stamp.epoch == state_.membership.epoch)
     state_.register_promised = std::max(state_.register_promised, stamp.ballot);
-  Replace(std::move(record), stamp);
+  ReplaceHeldRecord(std::move(record), stamp);
 }
 
 }  // namespace curlewdoor::agreement
--- a/src/console/storage_commands.cpp
+++ b/src/console/storage_commands.cpp
@@ -34,7 +34,7 @@
 struct StoppedMember {
   std::string directory, life;
   storage::Records records;
-  agreement::State state;
+  agreement::CoreState state;
   bool member = false;
 };
 
@@ -72,9 +72,9 @@
 void CheckRecords(const std::string& directory, const RecordsByKey& records) {
   for (const auto& [key, bytes] : records) {
     if (key == kLifeRecord || key == agreement::kStateKey || key == agreement::kValueKey) continue;
-    if (key.starts_with(agreement::kPageKeys) || key.starts_with(coordination::kReplicaKeys)) continue;
-    if (key == agreement::kFoundingKey) {
-      if (!agreement::DecodeFoundingState(bytes)) throw BadRecord(directory, "founding: can't be read");
+    if (key.starts_with(agreement::kPageKeyPrefix) || key.starts_with(coordination::kReplicaKeys)) continue;
+    if (key == agreement::kBootstrapKey) {
+      if (!agreement::DecodeBootstrapState(bytes)) throw BadRecord(directory, "founding: can't be read");
       continue;
     }
     if (key == kHostsRecord) {
@@ -107,7 +107,7 @@
   return disk;
 }
 
-void CheckValue(const std::string& directory, const agreement::Value& value) {
+void CheckValue(const std::string& directory, const agreement::ConfigValue& value) {
   if (value.version == 0) return;
   try {
     if (policy::Policy::Read(value.text)->version() != value.version)
@@ -140,8 +140,8 @@
   auto state = agreement::DecodeState([&](const std::string& key) { return Find(records, key); });
   if (!state) throw BadRecord(read.directory, "state or value: can't be read");
   read.state = std::move(*state);
-  for (const agreement::Member& member : read.state.roster.members)
-    read.member = read.member || member.life.disk == *disk;
+  for (const agreement::Member& member : read.state.membership.members)
+    read.member = read.member || member.incarnation.number == *disk;
   CheckValue(read.directory, read.state.value);
   CheckLog(read.directory, *disk, records);
   return read;
@@ -150,14 +150,14 @@
 void AddMembers(cJSON* list, const std::vector<agreement::Member>& members) {
   for (const agreement::Member& member : members)
     AddTo(list)
-        .Text("name", member.life.node)
-        .Text("life", HexText(member.life.disk))
+        .Text("name", member.incarnation.node)
+        .Text("life", HexText(member.incarnation.number))
         .Text("address", member.address);
 }
 
 void AddDetails(Document& document, const StoppedMember& read) {
-  const agreement::State& state = read.state;
-  AddMembers(document.List("roster"), state.roster.members);
+  const agreement::CoreState& state = read.state;
+  AddMembers(document.List("roster"), state.membership.members);
   document.Number("promised_round", static_cast<double>(state.promised.round));
   if (state.accepted) AddMembers(document.List("accepted"), state.accepted->members);
   cJSON* records = document.List("records");
@@ -166,10 +166,10 @@
 }
 
 void PrintJson(const StoppedMember& read, bool detailed, std::ostream& out) {
-  const agreement::State& state = read.state;
+  const agreement::CoreState& state = read.state;
   Document document;
   document.Text("directory", read.directory).Text("life", read.life).Flag("member", read.member);
-  document.Number("epoch", static_cast<double>(state.roster.epoch));
+  document.Number("epoch", static_cast<double>(state.membership.epoch));
   document.Flag("sealed", state.accepted.has_value());
   document.Number("version", static_cast<double>(state.value.version));
   if (detailed) AddDetails(document, read);
@@ -177,23 +177,23 @@
 }
 
 void PrintSummary(const StoppedMember& read, std::ostream& out) {
-  const agreement::State& state = read.state;
+  const agreement::CoreState& state = read.state;
   out << read.directory << ": good, " << read.records.size() << " records\n";
-  out << "life " << read.life << ", epoch " << state.roster.epoch << ", member "
+  out << "life " << read.life << ", epoch " << state.membership.epoch << ", member "
       << (read.member ? "yes" : "no") << ", sealed " << (state.accepted ? "yes" : "no") << ", version "
       << state.value.version << "\n";
 }
 
 void PrintDetails(const StoppedMember& read, std::ostream& out) {
-  const agreement::State& state = read.state;
+  const agreement::CoreState& state = read.state;
   Table members({"name", "life", "address"});
-  for (const agreement::Member& member : state.roster.members)
-    members.Row({member.life.node, HexText(member.life.disk), member.address});
+  for (const agreement::Member& member : state.membership.members)
+    members.Row({member.incarnation.node, HexText(member.incarnation.number), member.address});
   members.Print(out);
   out << "promised round " << state.promised.round << "\n";
   if (state.accepted) {
     out << "accepted successor, round " << state.accepted->ballot.round << ":";
-    for (const agreement::Member& member : state.accepted->members) out << " " << member.life.node;
+    for (const agreement::Member& member : state.accepted->members) out << " " << member.incarnation.node;
     out << "\n";
   }
   Table records({"record", "bytes"});
@@ -215,7 +215,7 @@
 void DumpStorage(Session& session) {
   const StoppedMember read = ReadMember(session.argument());
   if (session.options().json && session.options().keys) {
-    const agreement::Value& value = read.state.value;
+    const agreement::ConfigValue& value = read.state.value;
     if (value.version == 0) throw CommandError(kRefused, read.directory + ": holds no configuration");
     session.out() << value.text;
   } else if (session.options().json) {
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -120,8 +120,8 @@
 
 NotServed Coordinator::NotHere() const {
   const auto leader = replica_.leader();
-  const bool other = leader && leader->life != replica_.self().life;
-  return {other ? leader->life.node : std::string()};
+  const bool other = leader && leader->incarnation != replica_.self().incarnation;
+  return {other ? leader->incarnation.node : std::string()};
 }
 
 // ---- What the replica tells ----
--- a/src/coordination/packing.hpp
+++ b/src/coordination/packing.hpp
@@ -22,8 +22,8 @@
 
 namespace curlewdoor::coordination::packing {
 
-inline auto Fields(agreement::Life& v) { return std::tie(v.node, v.disk); }
-inline auto Fields(agreement::Member& v) { return std::tie(v.life, v.address); }
+inline auto Fields(agreement::Incarnation& v) { return std::tie(v.node, v.number); }
+inline auto Fields(agreement::Member& v) { return std::tie(v.incarnation, v.address); }
 
 struct ForeignBytes : std::runtime_error {
   ForeignBytes() : std::runtime_error("foreign bytes") {}
--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -47,8 +47,8 @@
 }
 
 void Replica::OnMessage(Time now, const ReplicaMessage& message, ReplicaOut& out) {
-  const bool any_disk = Does(ReplicaOptions::Fault::kAnyDisk) && message.to.node == self_.life.node;
-  if ((message.to != self_.life && !any_disk) || message.from.life == self_.life) return;
+  const bool any_disk = Does(ReplicaOptions::Fault::kAnyDisk) && message.to.node == self_.incarnation.node;
+  if ((message.to != self_.incarnation && !any_disk) || message.from.incarnation == self_.incarnation) return;
   Handle(now, message, out);
   StartWrite(now, out);
 }
@@ -103,7 +103,7 @@
 }
 
 void Replica::SendInTerm(const Member& to, std::uint64_t term, ReplicaBody body, ReplicaOut& out) {
-  out.sends.push_back({to, {self_, to.life, term, std::move(body)}});
+  out.sends.push_back({to, {self_, to.incarnation, term, std::move(body)}});
 }
 
 void Replica::Handle(Time now, const ReplicaMessage& m, ReplicaOut& out) {
@@ -139,10 +139,10 @@
     if (whole) SendInTerm(m.from, m.term, Vote{true, true}, out);
     return;
   }
-  const bool free = !voted_for_ || *voted_for_ == m.from.life;
+  const bool free = !voted_for_ || *voted_for_ == m.from.incarnation;
   if (!whole || !free || role_ == Role::kLeader) return Send(m.from, Vote{false, false}, out);
   if (!voted_for_) {
-    voted_for_ = m.from.life;
+    voted_for_ = m.from.incarnation;
     if (!Does(ReplicaOptions::Fault::kVoteNotWritten)) Changed();
   }
   ResetElection(now);
@@ -154,13 +154,13 @@
   const bool asked = vote.pre_vote ? role_ == Role::kPreCandidate && m.term == term_ + 1
                                    : role_ == Role::kCandidate && m.term == term_;
   if (!asked || !vote.granted) return;
-  if (std::find(votes_.begin(), votes_.end(), m.from.life) != votes_.end()) return;
-  votes_.push_back(m.from.life);
+  if (std::find(votes_.begin(), votes_.end(), m.from.incarnation) != votes_.end()) return;
+  votes_.push_back(m.from.incarnation);
   CountVotes(now, out);
 }
 
 void Replica::On(Time now, const ReplicaMessage&, const TimeoutNow&, ReplicaOut& out) {
-  if (role_ == Role::kFollower && IsVoter(self_.life)) Stand(now, false, true, out);
+  if (role_ == Role::kFollower && IsVoter(self_.incarnation)) Stand(now, false, true, out);
 }
 
 void Replica::BecomeFollower(Time now, std::uint64_t term, ReplicaOut& out) {
@@ -201,14 +201,14 @@
   if (pre_vote) {
     SetLeader(std::nullopt, out);
     role_ = Role::kPreCandidate;
-    votes_.push_back(self_.life);
+    votes_.push_back(self_.incarnation);
   } else {
     SetLeader(std::nullopt, out);
     role_ = Role::kCandidate;
     transfer_vote_ = transfer;
     ++term_;
     ++elections_;
-    voted_for_ = self_.life;
+    voted_for_ = self_.incarnation;
     verified_ = commit_;
     acknowledged_ = 0;
     leader_round_ = 0;
@@ -216,7 +216,7 @@
   }
   const RequestVote request{pre_vote, transfer, log_.last(), log_.last_term()};
   for (const Member& voter : log_.voters())
-    if (voter.life != self_.life) SendInTerm(voter, pre_vote ? term_ + 1 : term_, request, out);
+    if (voter.incarnation != self_.incarnation) SendInTerm(voter, pre_vote ? term_ + 1 : term_, request, out);
   CountVotes(now, out);
 }
 
@@ -225,10 +225,11 @@
 void Replica::CountVotes(Time now, ReplicaOut& out) {
   if (role_ == Role::kCandidate) {
     if (written_version_ < version_) return;
-    if (std::find(votes_.begin(), votes_.end(), self_.life) == votes_.end()) votes_.push_back(self_.life);
+    if (std::find(votes_.begin(), votes_.end(), self_.incarnation) == votes_.end())
+      votes_.push_back(self_.incarnation);
   }
-  const bool won = MajorityOf([this](const Life& life) {
-    return std::any_of(votes_.begin(), votes_.end(), [&](const Life& each) {
+  const bool won = MajorityOf([this](const Incarnation& life) {
+    return std::any_of(votes_.begin(), votes_.end(), [&](const Incarnation& each) {
       return each == life || (Does(ReplicaOptions::Fault::kAnyDisk) && each.node == life.node);
     });
   });
@@ -237,17 +238,18 @@
   if (role_ == Role::kCandidate) Lead(now, out);
 }
 
-bool Replica::IsVoter(const Life& life) const {
+bool Replica::IsVoter(const Incarnation& life) const {
   return std::any_of(log_.voters().begin(), log_.voters().end(),
-                     [&](const Member& each) { return each.life == life; });
+                     [&](const Member& each) { return each.incarnation == life; });
 }
 
 // Also a voter whose removal isn't committed yet: a majority may want its log, and it votes for no shorter
 // one.
 bool Replica::MayStand() const {
   const std::vector<Member>& settled = log_.VotersAt(commit_);
-  return IsVoter(self_.life) || std::any_of(settled.begin(), settled.end(),
-                                            [this](const Member& each) { return each.life == self_.life; });
+  return IsVoter(self_.incarnation) ||
+         std::any_of(settled.begin(), settled.end(),
+                     [this](const Member& each) { return each.incarnation == self_.incarnation; });
 }
 
 // ---- Following ----
@@ -338,9 +340,9 @@
     acknowledged_ = std::min(verified_, written_last_);
     return Send(m.from, Appended{true, acknowledged_, install.round}, out);
   }
-  const bool other = !incoming_ || incoming_->from != m.from.life || incoming_->term != m.term ||
+  const bool other = !incoming_ || incoming_->from != m.from.incarnation || incoming_->term != m.term ||
                      incoming_->index != install.index || incoming_->size != install.size;
-  if (other) incoming_ = Incoming{m.from.life, m.term, install.index, install.size, {}};
+  if (other) incoming_ = Incoming{m.from.incarnation, m.term, install.index, install.size, {}};
   if (install.offset == incoming_->bytes.size() && install.bytes.size() <= install.size - install.offset)
     incoming_->bytes += install.bytes;
   const std::uint64_t here = incoming_->bytes.size();
@@ -378,7 +380,7 @@
   if (writing_ || out.write || !dirty || now < write_after_) return;
   // A leader's entries gather with others until they are sent.
   if (flush_due_ && version_ == written_version_ && !snapshot_dirty_) return;
-  Records records = EncodeHardState(self_.life.disk, term_, voted_for_, log_.begin(), log_.last());
+  Records records = EncodeHardState(self_.incarnation.number, term_, voted_for_, log_.begin(), log_.last());
   if (snapshot_dirty_)
     records.push_back(EncodeSnapshot(log_.begin(), log_.TermAt(log_.begin()), log_.snapshot_time(),
                                      log_.snapshot_voters(), log_.snapshot()));
--- a/src/coordination/replica.hpp
+++ b/src/coordination/replica.hpp
@@ -34,7 +34,7 @@
 
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
-using agreement::Life;
+using agreement::Incarnation;
 using agreement::Member;
 
 struct ReplicaOptions {
@@ -93,7 +93,7 @@
 
 class Replica {
  public:
-  // `from_disk` is what the disk of `self.life` held (DecodeReplicaState), empty for a new one.
+  // `from_disk` is what the disk of `self.incarnation` held (DecodeReplicaState), empty for a new one.
   Replica(Member self, ReplicaState from_disk, ReplicaOptions options, std::uint64_t seed);
 
   // The state machine's state at the start: restore it before anything else (empty: a new one).
@@ -154,7 +154,7 @@
     std::uint64_t token = 0, round = 0;
   };
   struct Incoming {  // a snapshot that is being received
-    Life from;
+    Incarnation from;
     std::uint64_t term = 0, index = 0, size = 0;
     std::string bytes;
   };
@@ -183,12 +183,12 @@
   void Changed() { ++version_; }
   void StartWrite(Time now, ReplicaOut& out);
   void NoteTruncated(std::uint64_t last);
-  bool IsVoter(const Life& life) const;
+  bool IsVoter(const Incarnation& life) const;
   bool MayStand() const;
   template <typename Predicate>
   bool MajorityOf(Predicate&& agrees) const {  // of the voters
     const auto count = std::count_if(log_.voters().begin(), log_.voters().end(),
-                                     [&](const Member& voter) { return agrees(voter.life); });
+                                     [&](const Member& voter) { return agrees(voter.incarnation); });
     return 2 * static_cast<std::size_t>(count) > log_.voters().size();
   }
   bool Does(ReplicaOptions::Fault fault) const { return options_.fault == fault; }
@@ -215,21 +215,21 @@
   void SteerVoters(Time now, ReplicaOut& out);
   bool MayChangeVoters() const;
   void ChangeVoters(Time now, std::vector<Member> voters, ReplicaOut& out);
-  Peer* FindPeer(const Life& life);
-  bool HeardOf(Time now, const Life& life) const;
+  Peer* FindPeer(const Incarnation& life);
+  bool HeardOf(Time now, const Incarnation& life) const;
 
   const Member self_;
   const ReplicaOptions options_;
   std::mt19937_64 random_;
 
   std::uint64_t term_ = 0;
-  std::optional<Life> voted_for_;
+  std::optional<Incarnation> voted_for_;
   Log log_;
   std::uint64_t commit_ = 0;
   Role role_ = Role::kFollower;
   std::optional<Member> leader_;
   std::optional<Time> leader_heard_, election_due_;
-  std::vector<Life> votes_;
+  std::vector<Incarnation> votes_;
   bool transfer_vote_ = false;  // this candidacy was ordered by the leader
   std::uint64_t elections_ = 0;
 
--- a/src/coordination/replica_leader.cpp
+++ b/src/coordination/replica_leader.cpp
@@ -105,11 +105,12 @@
   if (now >= *transfer_until_) return transfer_until_.reset();
   if (transfer_sent_) return;
   const auto able = std::find_if(peers_.begin(), peers_.end(), [&](const Peer& peer) {
-    return peer.match == log_.last() && IsVoter(peer.member.life) && HeardOf(now, peer.member.life);
+    return peer.match == log_.last() && IsVoter(peer.member.incarnation) &&
+           HeardOf(now, peer.member.incarnation);
   });
   if (able == peers_.end()) return;
   transfer_sent_ = true;
-  out.notes.push_back("hands leadership to " + able->member.life.node);
+  out.notes.push_back("hands leadership to " + able->member.incarnation.node);
   Send(able->member, TimeoutNow{}, out);
 }
 
@@ -118,8 +119,9 @@
 void Replica::AskToStand(ReplicaOut& out) const {
   const Peer* best = nullptr;
   for (const Peer& peer : peers_)
-    if (IsVoter(peer.member.life) && (best == nullptr || peer.match > best->match)) best = &peer;
-  if (best != nullptr) out.sends.push_back({best->member, {self_, best->member.life, term_, TimeoutNow{}}});
+    if (IsVoter(peer.member.incarnation) && (best == nullptr || peer.match > best->match)) best = &peer;
+  if (best != nullptr)
+    out.sends.push_back({best->member, {self_, best->member.incarnation, term_, TimeoutNow{}}});
 }
 
 // ---- Gathering and sending ----
@@ -146,7 +148,8 @@
 
 void Replica::TickLeader(Time now, ReplicaOut& out) {
   if (flush_due_ && now >= *flush_due_) Flush(now, out);
-  const bool heard = MajorityOf([&](const Life& life) { return life == self_.life || HeardOf(now, life); });
+  const bool heard =
+      MajorityOf([&](const Incarnation& life) { return life == self_.incarnation || HeardOf(now, life); });
   if (!heard && now - led_since_ >= options_.quorum_lost) {
     AskToStand(out);
     return BecomeFollower(now, term_, out);
@@ -231,7 +234,7 @@
 }
 
 void Replica::On(Time now, const ReplicaMessage& m, const Appended& appended, ReplicaOut& out) {
-  Peer* peer = role_ == Role::kLeader ? FindPeer(m.from.life) : nullptr;
+  Peer* peer = role_ == Role::kLeader ? FindPeer(m.from.incarnation) : nullptr;
   if (peer == nullptr) return;
   peer->heard = now;
   peer->round = std::max(peer->round, appended.round);
@@ -255,7 +258,7 @@
 }
 
 void Replica::On(Time now, const ReplicaMessage& m, const SnapshotInstalled& installed, ReplicaOut& out) {
-  Peer* peer = role_ == Role::kLeader ? FindPeer(m.from.life) : nullptr;
+  Peer* peer = role_ == Role::kLeader ? FindPeer(m.from.incarnation) : nullptr;
   if (peer == nullptr) return;
   peer->heard = now;
   peer->round = std::max(peer->round, installed.round);
@@ -276,9 +279,9 @@
   const bool was_serving = serving();
   std::vector<std::uint64_t> held;
   for (const Member& voter : log_.voters()) {
-    const Peer* peer = FindPeer(voter.life);
+    const Peer* peer = FindPeer(voter.incarnation);
     const std::uint64_t own = Does(ReplicaOptions::Fault::kAckBeforeSync) ? log_.last() : written_last_;
-    held.push_back(voter.life == self_.life ? own : peer != nullptr ? peer->match : 0);
+    held.push_back(voter.incarnation == self_.incarnation ? own : peer != nullptr ? peer->match : 0);
   }
   std::sort(held.begin(), held.end(), std::greater<>());
   const std::uint64_t by_majority = held[held.size() / 2];
@@ -286,7 +289,7 @@
   if (own_term || Does(ReplicaOptions::Fault::kCommitOlderTerm)) Commit(by_majority, out);
   if (!was_serving && serving()) out.became_leader = true;
   // A leader that is no voter any more leads until that is committed.
-  if (log_.voters_index() <= commit_ && !IsVoter(self_.life)) {
+  if (log_.voters_index() <= commit_ && !IsVoter(self_.incarnation)) {
     AskToStand(out);
     BecomeFollower(now, term_, out);
   }
@@ -295,9 +298,9 @@
 void Replica::ConfirmReads(ReplicaOut& out) {
   while (!waiting_reads_.empty()) {
     const std::uint64_t round = waiting_reads_.front().round;
-    const bool confirmed = MajorityOf([&](const Life& life) {
+    const bool confirmed = MajorityOf([&](const Incarnation& life) {
       const Peer* peer = FindPeer(life);
-      return life == self_.life || (peer != nullptr && peer->round >= round);
+      return life == self_.incarnation || (peer != nullptr && peer->round >= round);
     });
     if (!confirmed) return;
     const auto later = std::find_if(waiting_reads_.begin(), waiting_reads_.end(),
@@ -316,29 +319,29 @@
 
 // ---- Voters ----
 
-Replica::Peer* Replica::FindPeer(const Life& life) {
-  const auto found =
-      std::find_if(peers_.begin(), peers_.end(), [&](const Peer& peer) { return peer.member.life == life; });
+Replica::Peer* Replica::FindPeer(const Incarnation& life) {
+  const auto found = std::find_if(peers_.begin(), peers_.end(),
+                                  [&](const Peer& peer) { return peer.member.incarnation == life; });
   return found == peers_.end() ? nullptr : &*found;
 }
 
-bool Replica::HeardOf(Time now, const Life& life) const {
+bool Replica::HeardOf(Time now, const Incarnation& life) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
-    return peer.member.life == life && peer.heard != Time{} && now - peer.heard < options_.quorum_lost;
+    return peer.member.incarnation == life && peer.heard != Time{} && now - peer.heard < options_.quorum_lost;
   });
 }
 
 // Peers are all voters and all that are to become voters.
 void Replica::RefreshPeers(Time now) {
-  const auto wanted = [&](const Life& life) {
-    const auto same = [&](const Member& each) { return each.life == life; };
+  const auto wanted = [&](const Incarnation& life) {
+    const auto same = [&](const Member& each) { return each.incarnation == life; };
     return std::any_of(target_.begin(), target_.end(), same) ||
            std::any_of(log_.voters().begin(), log_.voters().end(), same);
   };
-  std::erase_if(peers_, [&](const Peer& peer) { return !wanted(peer.member.life); });
+  std::erase_if(peers_, [&](const Peer& peer) { return !wanted(peer.member.incarnation); });
   const auto add = [&](const Member& member) {
-    if (member.life == self_.life) return;
-    Peer* known = FindPeer(member.life);
+    if (member.incarnation == self_.incarnation) return;
+    Peer* known = FindPeer(member.incarnation);
     if (known != nullptr) {
       known->member.address = member.address;
       return;
@@ -365,14 +368,14 @@
   std::vector<Member> voters = log_.voters();
   bool catching_up = false, missing = false;
   for (const Member& member : target_) {
-    if (IsVoter(member.life) || voters.size() >= kMaxVoters) continue;
+    if (IsVoter(member.incarnation) || voters.size() >= kMaxVoters) continue;
     missing = true;
-    const Peer* peer = FindPeer(member.life);
-    const bool ready = member.life == self_.life ||
-                       (peer != nullptr && HeardOf(now, member.life) && !peer->installing &&
+    const Peer* peer = FindPeer(member.incarnation);
+    const bool ready = member.incarnation == self_.incarnation ||
+                       (peer != nullptr && HeardOf(now, member.incarnation) && !peer->installing &&
                         peer->match >= log_.begin() && peer->match + options_.catch_up_gap >= log_.last());
     if (!ready && !Does(ReplicaOptions::Fault::kLearnerVotes)) {
-      catching_up = catching_up || HeardOf(now, member.life);
+      catching_up = catching_up || HeardOf(now, member.incarnation);
       continue;
     }
     voters.push_back(member);
@@ -381,18 +384,18 @@
   if (catching_up) return;  // it comes first, so that there are never fewer copies than need be
   for (const Member& voter : log_.voters()) {
     const bool stays = std::any_of(target_.begin(), target_.end(),
-                                   [&](const Member& each) { return each.life == voter.life; });
+                                   [&](const Member& each) { return each.incarnation == voter.incarnation; });
     // While another one is still to come, only those go that are gone: a voter that lives is a copy.
-    const bool lives = voter.life == self_.life || HeardOf(now, voter.life);
+    const bool lives = voter.incarnation == self_.incarnation || HeardOf(now, voter.incarnation);
     if (stays || (missing && lives) || voters.size() <= 1) continue;
-    std::erase_if(voters, [&](const Member& each) { return each.life == voter.life; });
+    std::erase_if(voters, [&](const Member& each) { return each.incarnation == voter.incarnation; });
     return ChangeVoters(now, std::move(voters), out);
   }
 }
 
 void Replica::ChangeVoters(Time now, std::vector<Member> voters, ReplicaOut& out) {
   std::string names;
-  for (const Member& voter : voters) names += " " + voter.life.node;
+  for (const Member& voter : voters) names += " " + voter.incarnation.node;
   out.notes.push_back("voters from entry " + std::to_string(log_.last() + 1) + ":" + names);
   LogEntry entry;
   entry.voters = std::move(voters);
--- a/src/coordination/replica_message.cpp
+++ b/src/coordination/replica_message.cpp
@@ -31,7 +31,7 @@
   std::uint32_t format = kFormat;
   std::uint64_t disk = 0;
   std::uint64_t term = 0;
-  agreement::Life voted_for;  // without a name: nobody
+  agreement::Incarnation voted_for;  // without a name: nobody
   std::uint64_t snapshot_index = 0, last_index = 0;
 };
 auto Fields(HardState& v) {
@@ -77,10 +77,11 @@
 }
 
 Records EncodeHardState(std::uint64_t disk, std::uint64_t term,
-                        const std::optional<agreement::Life>& voted_for, std::uint64_t snapshot_index,
+                        const std::optional<agreement::Incarnation>& voted_for, std::uint64_t snapshot_index,
                         std::uint64_t last_index) {
-  return {{kHardKey, packing::Pack(HardState{kFormat, disk, term, voted_for.value_or(agreement::Life{}),
-                                             snapshot_index, last_index})}};
+  return {
+      {kHardKey, packing::Pack(HardState{kFormat, disk, term, voted_for.value_or(agreement::Incarnation{}),
+                                         snapshot_index, last_index})}};
 }
 
 std::pair<std::string, std::string> EncodeEntry(std::uint64_t index, const LogEntry& entry) {
--- a/src/coordination/replica_message.hpp
+++ b/src/coordination/replica_message.hpp
@@ -34,7 +34,7 @@
 struct ReplicaState {
   bool found = false;  // records of this life were there
   std::uint64_t term = 0;
-  std::optional<agreement::Life> voted_for;  // in `term`
+  std::optional<agreement::Incarnation> voted_for;  // in `term`
   std::uint64_t snapshot_index = 0, snapshot_term = 0;
   std::chrono::milliseconds snapshot_time{};
   std::vector<Member> snapshot_voters;  // the configuration at snapshot_index; empty: none is known
@@ -93,8 +93,8 @@
 
 struct ReplicaMessage {
   Member from;
-  agreement::Life to;      // a message for another life of the same machine is dropped
-  std::uint64_t term = 0;  // a pre-vote's: the one it would stand in
+  agreement::Incarnation to;  // a message for another life of the same machine is dropped
+  std::uint64_t term = 0;     // a pre-vote's: the one it would stand in
   ReplicaBody body;
   bool operator==(const ReplicaMessage&) const = default;
 };
--- a/src/system/coordination_host.cpp
+++ b/src/system/coordination_host.cpp
@@ -18,12 +18,13 @@
       coordinator_(std::move(self), std::move(from_disk), options, seed),
       timer_(loop, [this](int) { Tick(); }) {}
 
-void CoordinationHost::SetRoster(const agreement::Roster& roster) {
+void CoordinationHost::SetRoster(const agreement::Membership& roster) {
   if (roster.epoch == 0) return;
   CoordinatorOut out;
   const auto& self = coordinator_.replica().self();
-  const bool member = std::any_of(roster.members.begin(), roster.members.end(),
-                                  [&](const agreement::Member& each) { return each.life == self.life; });
+  const bool member =
+      std::any_of(roster.members.begin(), roster.members.end(),
+                  [&](const agreement::Member& each) { return each.incarnation == self.incarnation; });
   if (roster.epoch == 1 && member) coordinator_.Found(Now(), roster.members, out);
   coordinator_.SetTarget(Now(), roster.epoch, roster.members, out);
   Execute(std::move(out));
@@ -91,7 +92,7 @@
   const bool written = !out.write || owner_.WriteLog(std::move(*out.write));
   if (out.leader_changed && leads()) {
     const auto& replica = coordinator_.replica();
-    owner_.OnCoordinationLeader(replica.term(), replica.self().life.node);
+    owner_.OnCoordinationLeader(replica.term(), replica.self().incarnation.node);
   }
   if (!written) return OnWritten(false);
   SetTimer();
--- a/src/system/coordination_host.hpp
+++ b/src/system/coordination_host.hpp
@@ -33,7 +33,7 @@
                    coordination::ReplicaState from_disk, const coordination::CoordinatorOptions& options,
                    std::uint64_t seed);
 
-  void SetRoster(const agreement::Roster& roster);
+  void SetRoster(const agreement::Membership& roster);
   void OnBytes(std::string_view bytes);
   void OnWritten(bool ok);
   void Tick();
--- a/src/system/founding_host.hpp
+++ b/src/system/founding_host.hpp
@@ -27,15 +27,15 @@
   };
 
   /// `self`: where the link of this process listens. `durable`: what an acceptor says waits for the disk.
-  FoundingHost(Link& link, Owner& owner, const Address& self, agreement::founding::State state, bool durable,
-               std::size_t least_members, std::uint64_t seed);
+  FoundingHost(Link& link, Owner& owner, const Address& self, agreement::bootstrap::BootstrapState state,
+               bool durable, std::size_t least_members, std::uint64_t seed);
 
   /// What a process keeps that starts together with the whole system.
-  static agreement::founding::State FirstState(const settings::NodeSettings& settings);
+  static agreement::bootstrap::BootstrapState FirstState(const settings::NodeSettings& settings);
 
   void SetCandidate(agreement::Member self);
   void StopProposing() { founding_.StopProposing(); }
-  void OnView(const std::vector<agreement::Seen>& view) { founding_.OnView(Now(), view); }
+  void OnView(const std::vector<agreement::ObservedMachine>& view) { founding_.OnView(Now(), view); }
   void OnBytes(Link::Stream& from, std::string_view bytes);
   void OnWritten(bool ok);
   /// About every 50 ms.
@@ -46,14 +46,14 @@
  private:
   static agreement::Time Now() { return std::chrono::steady_clock::now(); }
   Address LinkOf(std::uint32_t seed) const { return {seed, self_.port}; }
-  void Carry(agreement::founding::Out out);
-  void Send(const Address& to, const agreement::founding::Message& message);
-  void Reply(std::uint64_t stream, const agreement::founding::Message& message);
+  void Carry(agreement::bootstrap::BootstrapOutput out);
+  void Send(const Address& to, const agreement::bootstrap::BootstrapMessage& message);
+  void Reply(std::uint64_t stream, const agreement::bootstrap::BootstrapMessage& message);
 
   Link& link_;
   Owner& owner_;
   const Address self_;
-  agreement::founding::Founding founding_;
+  agreement::bootstrap::Bootstrapper founding_;
 };
 
 }  // namespace curlewdoor::system
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -176,7 +176,7 @@
   link_.KeepHouse();
   fleet_link_.Reap();
   if (core_) {
-    agreement::Out out;
+    agreement::CoreOutput out;
     core_->Tick(now, out);
     ExecuteCore(std::move(out));
   }
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -99,7 +99,7 @@
   void OnView();
   static bool IsOfCore(const fleet::Record& record);
   static std::string ZoneOf(const fleet::Record& record);
-  agreement::Place PlaceOf(const fleet::Record& record) const;
+  agreement::Location PlaceOf(const fleet::Record& record) const;
   int AtLeast(int gateways);
   void ConsiderCore();
 
@@ -199,11 +199,11 @@
   std::uint64_t NewLifeInMemory();
   void TryOpenCore();  // a disk in trouble leaves a gateway without a core, for now
   void StartFleet();
-  void ExecuteCore(agreement::Out out);
-  void AnswerDone(agreement::Done& done);
-  static std::string ConflictText(std::uint64_t sent, const agreement::Done& done);
-  std::unique_ptr<FoundingHost> MakeFounding(agreement::founding::State state, bool durable);
-  void OpenFounding(std::optional<agreement::founding::State> kept);
+  void ExecuteCore(agreement::CoreOutput out);
+  void AnswerDone(agreement::CallResult& done);
+  static std::string ConflictText(std::uint64_t sent, const agreement::CallResult& done);
+  std::unique_ptr<FoundingHost> MakeFounding(agreement::bootstrap::BootstrapState state, bool durable);
+  void OpenFounding(std::optional<agreement::bootstrap::BootstrapState> kept);
   bool KeepFounding(std::string state) override;
   void OnFounded(std::vector<agreement::Member> members) override;
   void OnStorage();
@@ -225,7 +225,7 @@
   void AnnounceConfig();  // to all that want news, as AnnouncePace says
   void TellConfig(Link::Stream& stream);
   void ReadForFeed();
-  void OnFeedRead(const agreement::Done& done);
+  void OnFeedRead(const agreement::CallResult& done);
   void FetchConfig();
   std::vector<ConfigFeed::Candidate> FeedCandidates();
   void SetInForce(ConfigId id, std::string text);
--- a/src/system/node_calls.cpp
+++ b/src/system/node_calls.cpp
@@ -115,13 +115,13 @@
 }
 
 void Node::PutHere(std::uint64_t number, std::uint64_t version, std::string text) {
-  agreement::Out out;
+  agreement::CoreOutput out;
   core_->Put(Now(), number, {version, std::move(text)}, out);
   ExecuteCore(std::move(out));
 }
 
 void Node::GetHere(std::uint64_t number) {
-  agreement::Out out;
+  agreement::CoreOutput out;
   core_->Get(Now(), number, out);
   ExecuteCore(std::move(out));
 }
--- a/src/system/node_coordination.cpp
+++ b/src/system/node_coordination.cpp
@@ -13,7 +13,7 @@
       std::chrono::duration_cast<coordination::LoggedTime>(settings_.bounds.history * kHistoryFactor);
   CoordinationHost::Owner& owner = *this;
   coordination_.emplace(loop_, owner, core_->self(), std::move(from_disk), options, rng_());
-  coordination_->SetRoster(core_->roster());
+  coordination_->SetRoster(core_->membership());
 }
 
 // Throws CallError, which counts as an end of the call.
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -29,10 +29,10 @@
 }
 
 std::uint64_t Node::NewLifeInMemory() {
-  std::vector<agreement::Life> known;
+  std::vector<agreement::Incarnation> known;
   for (const CoreMember& member : members_) known.push_back({member.name, member.disk});
   const std::uint64_t by_clock = FirstLife(BootNow()) + rng_() % kLivesAtOnce;
-  return agreement::NextLife(by_clock, settings_.node_name, known);
+  return agreement::NextIncarnationNumber(by_clock, settings_.node_name, known);
 }
 
 void Node::OpenCore() {
@@ -47,8 +47,8 @@
   }
   Say(Event::kStorageOpened, directory + (empty ? " (empty)" : ""));
   const auto life = storage_->Read("life");
-  agreement::State state;
-  std::optional<agreement::founding::State> founding;
+  agreement::CoreState state;
+  std::optional<agreement::bootstrap::BootstrapState> founding;
   bool first = bootstrap_;
   // A life that began with the whole system may still found it, whatever the settings say by now.
   const bool known = life && (life->size() == 16 || life->size() == 17);
@@ -63,8 +63,8 @@
     life_kept_ = true;
     first = life_.size() == 17;
     state = *read;
-    if (const auto kept = storage_->Read(agreement::kFoundingKey); kept && first)
-      founding = agreement::DecodeFoundingState(*kept);
+    if (const auto kept = storage_->Read(agreement::kBootstrapKey); kept && first)
+      founding = agreement::DecodeBootstrapState(*kept);
     if (const auto gateways = storage_->Read(kGatewaysKey))
       least_gateways_ = std::clamp(std::atoi(gateways->c_str()), 0, kMostGateways);
     if (const auto hosts = storage_->Read(kHostsKey))
@@ -75,7 +75,7 @@
     log.emplace();
     // What can't be read is forgotten: another life, that has promised nothing and must be taken in first.
     if (known) Say(Event::kStorageDamaged, directory + ": its state can't be read; it begins another life");
-    if (known || storage_->Read(agreement::kFoundingKey)) first = false;
+    if (known || storage_->Read(agreement::kBootstrapKey)) first = false;
     if (!first) Say(Event::kWipedDisk, directory);
     disk_ = in_memory_ ? NewLifeInMemory() : rng_() | 1;
     life_ = Hex(disk_) + (first ? "b" : "");
@@ -86,20 +86,20 @@
     records.emplace_back("life", life_);
     if (first && !founding_) {
       founding = FoundingHost::FirstState(settings_);
-      records.emplace_back(agreement::kFoundingKey, agreement::EncodeFoundingState(*founding));
+      records.emplace_back(agreement::kBootstrapKey, agreement::EncodeBootstrapState(*founding));
     }
     storage_->Write(0, std::move(records));
   }
-  agreement::Options options;
-  options.least_members = 2 * settings_.fault_tolerance.machine_failures + 1;
-  options.lives_end = in_memory_;
-  options.waits_for_complete = !in_memory_;
-  options.spread = {static_cast<int>(settings_.fault_tolerance.zones),
-                    static_cast<int>(settings_.fault_tolerance.region_failures)};
+  agreement::CoreOptions options;
+  options.min_members = 2 * settings_.fault_tolerance.machine_failures + 1;
+  options.volatile_members = in_memory_;
+  options.wait_for_complete = !in_memory_;
+  options.wanted_tolerance = {static_cast<int>(settings_.fault_tolerance.zones),
+                              static_cast<int>(settings_.fault_tolerance.region_failures)};
   core_.emplace(agreement::Member{{settings_.node_name, disk_}, link_address_.ToText()}, false,
                 std::move(state), options, rng_());
-  if (core_->roster().epoch > epoch_) {
-    epoch_ = core_->roster().epoch;
+  if (core_->membership().epoch > epoch_) {
+    epoch_ = core_->membership().epoch;
     members_ = RosterOfCore();
   }
   storage_io_ = std::make_unique<net::IoWatcher>(loop_, [this](int) { OnStorage(); });
@@ -116,19 +116,19 @@
 
 std::vector<Node::CoreMember> Node::RosterOfCore() const {
   std::vector<CoreMember> members;
-  for (const agreement::Member& member : core_->roster().members)
+  for (const agreement::Member& member : core_->membership().members)
     if (const auto address = ParseAddress(member.address))
-      members.push_back({member.life.node, member.life.disk, *address});
+      members.push_back({member.incarnation.node, member.incarnation.number, *address});
   return members;
 }
 
 // A process that has answered from its memory goes on to do so.
-void Node::OpenFounding(std::optional<agreement::founding::State> kept) {
+void Node::OpenFounding(std::optional<agreement::bootstrap::BootstrapState> kept) {
   if (!founding_ && kept) founding_ = MakeFounding(std::move(*kept), true);
   if (founding_ && epoch_ == 0) founding_->SetCandidate(core_->self());
 }
 
-std::unique_ptr<FoundingHost> Node::MakeFounding(agreement::founding::State state, bool durable) {
+std::unique_ptr<FoundingHost> Node::MakeFounding(agreement::bootstrap::BootstrapState state, bool durable) {
   const auto least_members = 2 * settings_.fault_tolerance.machine_failures + 1;
   FoundingHost::Owner& owner = *this;
   return std::make_unique<FoundingHost>(link_, owner, link_address_, std::move(state), durable, least_members,
@@ -136,15 +136,15 @@
 }
 
 bool Node::KeepFounding(std::string state) {
-  storage::Records records{{agreement::kFoundingKey, std::move(state)}};
+  storage::Records records{{agreement::kBootstrapKey, std::move(state)}};
   if (!life_kept_) records.emplace_back("life", life_);
   return storage_->Write(kFoundingWrite, std::move(records));
 }
 
 void Node::OnFounded(std::vector<agreement::Member> members) {
   if (!core_) return;
-  agreement::Out out;
-  core_->Found(Now(), std::move(members), out);
+  agreement::CoreOutput out;
+  core_->BeginFirstEpoch(Now(), std::move(members), out);
   ExecuteCore(std::move(out));
 }
 
@@ -168,53 +168,54 @@
       founding_->OnWritten(result.ok);
       continue;
     }
-    agreement::Out out;
+    agreement::CoreOutput out;
     core_->OnWritten(Now(), result.id, result.ok, out);
     ExecuteCore(std::move(out));
   }
 }
 
-void Node::ExecuteCore(agreement::Out out) {
-  for (const std::string& note : out.notes) Say(Event::kSuccessorProposed, note);
-  for (agreement::Write& write : out.writes) {
+void Node::ExecuteCore(agreement::CoreOutput out) {
+  for (const std::string& note : out.log_messages) Say(Event::kSuccessorProposed, note);
+  for (agreement::StorageWrite& write : out.writes) {
     // Where the first write was refused: nothing may be kept without the life that promised it.
     if (!life_kept_) write.records.emplace_back("life", life_);
     if (storage_->Write(write.id, std::move(write.records))) continue;
-    agreement::Out failed;
+    agreement::CoreOutput failed;
     core_->OnWritten(Now(), write.id, false, failed);
     ExecuteCore(std::move(failed));
   }
-  for (const agreement::Sending& sending : out.sends) {
+  for (const agreement::OutgoingMessage& sending : out.sends) {
     const auto address = ParseAddress(sending.to.address);
     Link::Stream* stream = address ? link_.To(*address) : nullptr;
     if (stream != nullptr) stream->Send(Encode(CoreBytes{agreement::Encode(sending.message)}));
   }
-  if (out.roster_changed) {
-    OnRoster(core_->roster().epoch, RosterOfCore());
-    if (coordination_) coordination_->SetRoster(core_->roster());
+  if (out.membership_changed) {
+    OnRoster(core_->membership().epoch, RosterOfCore());
+    if (coordination_) coordination_->SetRoster(core_->membership());
     OnView();
   }
   LookAtMajority();
   // Before any acknowledgement: what it acknowledges is then on its way to all.
   if (out.committed_changed) OnCommitted();
-  for (agreement::Done& done : out.done) AnswerDone(done);
+  for (agreement::CallResult& done : out.results) AnswerDone(done);
 }
 
-void Node::AnswerDone(agreement::Done& done) {
-  using agreement::Outcome;
+void Node::AnswerDone(agreement::CallResult& done) {
+  using agreement::CallOutcome;
   if (done.call == feed_read_) return OnFeedRead(done);
   const CoreCalls::Call* call = core_calls_.Find(done.call);
   if (call == nullptr) return;
   const auto answer = [&](int status, std::string body) {
     core_calls_.OnAnsweredHere(Now(), done.call, status, std::move(body));
   };
-  if (done.outcome == Outcome::kConflict) {
+  if (done.outcome == CallOutcome::kConflict) {
     Say(Event::kConfigConflict, "version " + std::to_string(call->version));
     return answer(409, ConflictText(call->version, done));
   }
-  if (done.outcome != Outcome::kKept && done.outcome != Outcome::kOlder) return answer(503, {});
+  if (done.outcome != CallOutcome::kInForce && done.outcome != CallOutcome::kSuperseded)
+    return answer(503, {});
   if (call->kind == CoreCalls::Kind::kOrder) {
-    if (done.outcome == Outcome::kOlder)
+    if (done.outcome == CallOutcome::kSuperseded)
       Say(Event::kConfigOvertaken, "by " + std::to_string(done.value.version));
     return answer(kConfirmed, "{}");
   }
@@ -223,7 +224,7 @@
 }
 
 // The number belongs to another content for good, so the same order would be refused for ever.
-std::string Node::ConflictText(std::uint64_t sent, const agreement::Done& done) {
+std::string Node::ConflictText(std::uint64_t sent, const agreement::CallResult& done) {
   json::Document body;
   body.Text("error", "conflict").Number("version_sent", static_cast<double>(sent));
   body.Number("version_in_force", static_cast<double>(done.value.version));
@@ -274,12 +275,12 @@
 }
 
 void Node::TellSpread(const agreement::CoreStatus& status) {
-  const bool is_short = !status.spread.Covers(status.wanted);
+  const bool is_short = !status.tolerance.Covers(status.wanted);
   if (std::exchange(spread_short_, is_short) == is_short) return;
   Say(is_short ? Event::kSpreadShort : Event::kSpreadBack,
-      "epoch " + std::to_string(status.epoch) + ": zones borne " + std::to_string(status.spread.zones) +
+      "epoch " + std::to_string(status.epoch) + ": zones borne " + std::to_string(status.tolerance.zones) +
           " of " + std::to_string(status.wanted.zones) + ", regions borne " +
-          std::to_string(status.spread.regions) + " of " + std::to_string(status.wanted.regions));
+          std::to_string(status.tolerance.regions) + " of " + std::to_string(status.wanted.regions));
 }
 
 Message Node::MembersNow() const {
--- a/src/system/node_feed.cpp
+++ b/src/system/node_feed.cpp
@@ -25,7 +25,7 @@
 // ---- A core member's side -----------------------------------------------------------------------------
 
 void Node::OnCommitted() {
-  const agreement::Value& value = core_->committed();
+  const agreement::ConfigValue& value = core_->committed();
   source_.SetNewest(IdOf(value.version, value.text), value.text);
   AnnounceConfig();
   ApplyCommitted();
@@ -65,15 +65,15 @@
 void Node::ReadForFeed() {
   if (!source_.BeginRead()) return;
   feed_read_ = next_number_++;
-  agreement::Out out;
+  agreement::CoreOutput out;
   core_->Get(Now(), feed_read_, out);
   ExecuteCore(std::move(out));
 }
 
-void Node::OnFeedRead(const agreement::Done& done) {
+void Node::OnFeedRead(const agreement::CallResult& done) {
   feed_read_ = 0;
   const bool confirmed =
-      done.outcome == agreement::Outcome::kKept || done.outcome == agreement::Outcome::kOlder;
+      done.outcome == agreement::CallOutcome::kInForce || done.outcome == agreement::CallOutcome::kSuperseded;
   const auto answers = source_.OnRead(confirmed, done.value.version);
   link_.ForEach([&](Link::Stream& stream) {
     for (const ConfigSource::Answer& answer : answers) {
--- a/src/system/node_membership.cpp
+++ b/src/system/node_membership.cpp
@@ -60,7 +60,7 @@
 
 void Node::OnView() {
   std::vector<Address> targets;
-  std::vector<agreement::Seen> counted;
+  std::vector<agreement::ObservedMachine> counted;
   const auto look = [&](const fleet::Record& record) {
     const bool of_roster = std::any_of(members_.begin(), members_.end(),
                                        [&](const CoreMember& each) { return each.name == record.name; });
@@ -102,7 +102,7 @@
   UpdateHeartbeatTargets();
   if (!core_) return;
   if (founding_) founding_->OnView(counted);
-  agreement::Out out;
+  agreement::CoreOutput out;
   core_->OnView(Now(), counted, out);
   ExecuteCore(std::move(out));
 }
@@ -119,7 +119,7 @@
   return record.about.substr(record.about.find(' ') + 1);
 }
 
-agreement::Place Node::PlaceOf(const fleet::Record& record) const {
+agreement::Location Node::PlaceOf(const fleet::Record& record) const {
   const std::string zone = ZoneOf(record);
   const auto region = settings_.zones.find(zone);
   return {zone, region != settings_.zones.end() ? region->second : std::string()};
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -229,7 +229,7 @@
   if (!core_) return;
   const auto decoded = agreement::DecodeMessage(message.bytes);
   if (!decoded) return Say(Event::kMessageRefused, "of the core");
-  agreement::Out out;
+  agreement::CoreOutput out;
   core_->OnMessage(Now(), *decoded, out);
   ExecuteCore(std::move(out));
 }
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -27,10 +27,10 @@
 // To the agreement, whose next change of the roster waits for them.
 void Node::TellCompleteMembers() {
   if (!core_ || !registry_replica_) return;
-  std::vector<agreement::Life> complete;
+  std::vector<agreement::Incarnation> complete;
   for (const registry::MemberId& member : registry_replica_->CompleteMembers())
     complete.push_back({member.name, member.incarnation});
-  core_->SetComplete(registry_replica_->epoch(), std::move(complete));
+  core_->SetCompleteMembers(registry_replica_->epoch(), std::move(complete));
 }
 
 registry::Standing Node::OwnStanding() const {
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -66,8 +66,8 @@
 
 bool IsCaughtUp(const agreement::CoreStatus& status, const std::string& name, std::uint64_t disk) {
   return std::any_of(status.voters.begin(), status.voters.end(), [&](const auto& voter) {
-    return voter.member.life.node == name && voter.member.life.disk == disk && voter.caught_up &&
-           voter.answers;
+    return voter.member.incarnation.node == name && voter.member.incarnation.number == disk &&
+           voter.caught_up && voter.responsive;
   });
 }
 
@@ -165,8 +165,8 @@
   // Of those that are caught up: how many more may be lost with a majority left. Below 0: there is none.
   told ? answer.Number("further_losses", status.further_losses) : answer.None("further_losses");
   if (told) {
-    answer.Number("zones_borne", status.spread.zones).Number("zones_wanted", status.wanted.zones);
-    answer.Number("regions_borne", status.spread.regions).Number("regions_wanted", status.wanted.regions);
+    answer.Number("zones_borne", status.tolerance.zones).Number("zones_wanted", status.wanted.zones);
+    answer.Number("regions_borne", status.tolerance.regions).Number("regions_wanted", status.wanted.regions);
   }
   told ? answer.Number("ballots_refused", static_cast<double>(core_->ballots_refused()))
        : answer.None("ballots_refused");
@@ -191,28 +191,28 @@
 }
 
 void Node::Execute(RequestId id, const ForgetMember& order) {
-  using agreement::Forgetting;
+  using agreement::ForgetResult;
   const auto refuse = [&](int status, const std::string& why) {
     control_.Reply(id, status, order.name + ": " + why + "\n", "text/plain");
   };
   if (!core_member()) return refuse(503, "this gateway is no member of the core; ask one");
-  agreement::Out out;
-  const Forgetting verdict = core_->Forget(Now(), order.name, order.forced, out);
+  agreement::CoreOutput out;
+  const ForgetResult verdict = core_->Forget(Now(), order.name, order.forced, out);
   const std::string epoch = std::to_string(epoch_);
   ExecuteCore(std::move(out));
   switch (verdict) {
-    case Forgetting::kProposed:
+    case ForgetResult::kProposed:
       events::Say(events::Event::kForgetOrdered, order.name + (order.forced ? ", forced" : ""));
       return ReplyReport(id, "{\"proposed_in_epoch\":" + epoch + "}\n");
-    case Forgetting::kNoMember:
+    case ForgetResult::kNoMember:
       return refuse(404, "no member of that name in epoch " + epoch);
-    case Forgetting::kNoMajority:
+    case ForgetResult::kNoMajority:
       return refuse(503, "no majority here, or another successor is under way");
-    case Forgetting::kItself:
+    case ForgetResult::kItself:
       return refuse(503, "it is this gateway; another member has to be told");
-    case Forgetting::kAlive:
+    case ForgetResult::kAlive:
       return refuse(409, "it is alive; stop it first");
-    case Forgetting::kTooFew:
+    case ForgetResult::kTooFew:
       return refuse(409, "another member is away, or the rest would bear less than the settings say");
   }
 }
@@ -346,7 +346,9 @@
   cJSON* voters = answer.List("voters");
   for (const agreement::Member& voter : replica.voters()) {
     Object each = AddTo(voters);
-    each.Text("name", voter.life.node).Text("life", LifeText(voter.life.disk)).Text("address", voter.address);
+    each.Text("name", voter.incarnation.node)
+        .Text("life", LifeText(voter.incarnation.number))
+        .Text("address", voter.address);
   }
   cJSON* locks = answer.List("locks");
   for (const auto& [lock, hold] : coordinator.state().holds()) {
--- a/tests/agreement/trace_text.hpp
+++ b/tests/agreement/trace_text.hpp
@@ -1,4 +1,4 @@
-// The steps of a trace in words.
+// Describes the actions of a trace.
 #pragma once
 
 #include <string>
@@ -9,58 +9,61 @@
 namespace curlewdoor::agreement {
 namespace {
 
-std::string NameOf(const OrderOutcome& outcome) {
+std::string NameOf(const PutOutcome& outcome) {
   return TextOf(outcome.version, ContentOf(outcome.version, outcome.digest)) +
          (outcome.took_effect ? "" : " without effect");
 }
 
-// A step in words.
-std::string Describe(const Action& action, const std::vector<Mail>& mails, const Limits& limits) {
-  static const char* const kVariants[] = {"", ", crash, its write is lost", ", crash, its write is there",
-                                          ", its disk hangs"};
-  std::string who = NameOf(action.machine) + " ", what = std::to_string(action.what);
+// Describes an action.
+std::string Describe(const Action& action, const std::vector<SentMessage>& messages, const Limits& limits) {
+  static const char* const kVariants[] = {"", ", crash, its write is lost", ", crash, its write is synced",
+                                          ", its disk stalls"};
+  std::string text = NameOf(action.machine) + " ", argument = std::to_string(action.argument);
   switch (action.kind) {
     case kDeliver: {
-      static const char* const kBodies[] = {"offer",         "offer taken",  "epoch",         "query",
+      static const char* const kBodies[] = {"offer",         "offer reply",  "epoch",         "query",
                                             "query reply",   "fetch",        "record",        "prepare",
                                             "promise",       "accept",       "accepted",      "prepare epoch",
                                             "epoch promise", "accept epoch", "epoch accepted"};
-      const Mail& mail = mails[action.what];
-      who += "takes " + std::string(kBodies[mail.message.body.index()]) + " of " + NameOf(mail.from) +
-             " in epoch " + std::to_string(mail.message.epoch);
-      if (auto* accept = std::get_if<Accept>(&mail.message.body))
-        for (const OrderOutcome& each : accept->added) who += ", " + NameOf(each);
-      if (auto* accept = std::get_if<AcceptEpoch>(&mail.message.body)) who += ", " + NamesOf(accept->members);
-      if (auto* install = std::get_if<InstallEpoch>(&mail.message.body))
-        who += ", " + NamesOf(install->members);
+      const SentMessage& envelope = messages[action.argument];
+      text += "receives " + std::string(kBodies[envelope.message.body.index()]) + " from " +
+              NameOf(envelope.from) + " in epoch " + std::to_string(envelope.message.epoch);
+      if (auto* accept = std::get_if<RegisterAccept>(&envelope.message.body))
+        for (const PutOutcome& each : accept->added_outcomes) text += ", " + NameOf(each);
+      if (auto* accept = std::get_if<EpochAccept>(&envelope.message.body))
+        text += ", " + NamesOf(accept->members);
+      if (auto* install = std::get_if<InstallEpoch>(&envelope.message.body))
+        text += ", " + NamesOf(install->members);
       break;
     }
     case kPut:
-      who += "is sent " + TextOf(limits.orders[action.what].version, limits.orders[action.what].content);
+      text += "is sent " + TextOf(limits.planned_puts[action.argument].version,
+                                  limits.planned_puts[action.argument].content);
       break;
     case kGet:
-      who += "reads";
+      text += "reads";
       break;
     case kPropose:
-      who += action.what < kMachines       ? "proposes d for " + NameOf(action.what)
-             : action.what < 2 * kMachines ? "proposes the new disk of " + NameOf(action.what - kMachines)
-                                           : std::string("proposes d as a fourth");
+      text += action.argument < kMachines ? "proposes d for " + NameOf(action.argument)
+              : action.argument < 2 * kMachines
+                  ? "proposes the new disk of " + NameOf(action.argument - kMachines)
+                  : std::string("proposes d as a fourth");
       break;
     case kSync:
-      return who + "has synced";
+      return text + "has synced";
     case kCrash:
-      return who + "crashes" + (action.variant == kKept ? ", its write is there" : "");
+      return text + "crashes" + (action.variant == kPersisted ? ", its write is synced" : "");
     case kWipe:
-      return who + "loses its disk";
+      return text + "loses its disk";
     case kView:
-      return who + "sees nobody else";
+      return text + "sees no other machine";
     case kRetry:
-      who += "tries again";
+      text += "tries again";
       break;
     case kLeave:
-      return who + "leaves, with its disk";
+      return text + "leaves, with its disk";
   }
-  return who + kVariants[action.variant];
+  return text + kVariants[action.variant];
 }
 
 }  // namespace
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -506,14 +506,14 @@
 }
 
 storage::Records GoodRecords() {
-  agreement::State state;
+  agreement::CoreState state;
   agreement::Member member;
-  member.life.node = "lund-1";
-  member.life.disk = 0x00c0ffee00c0ffeeULL;
+  member.incarnation.node = "lund-1";
+  member.incarnation.number = 0x00c0ffee00c0ffeeULL;
   member.address = "10.8.0.31:7201";
-  state.roster.epoch = 3;
-  state.roster.members.push_back(member);
-  state.roster.first_size = 1;
+  state.membership.epoch = 3;
+  state.membership.members.push_back(member);
+  state.membership.initial_size = 1;
   state.value = {7, BlockOf("file: site.json")};
   return {{"life", kLife},
           {agreement::kStateKey, agreement::EncodeState(state)},
@@ -571,7 +571,7 @@
   MakeStorage(here / "foreign", records);
   says("storage verify foreign", kRefused, "none of ours");
   records = GoodRecords();
-  records.emplace_back(agreement::kFoundingKey, "x");
+  records.emplace_back(agreement::kBootstrapKey, "x");
   MakeStorage(here / "unfounded", records);
   says("storage verify unfounded", kRefused, "record founding: can't be read");
   records = GoodRecords();
@@ -580,8 +580,8 @@
   says("storage verify unlike", kRefused, "another version");
 
   // A log that is damaged, and one whose entries are of this disk.
-  const agreement::Life life{"lund-1", 0x00c0ffee00c0ffee};
-  coordination::Records log = coordination::EncodeHardState(life.disk, 2, life, 0, 1);
+  const agreement::Incarnation life{"lund-1", 0x00c0ffee00c0ffee};
+  coordination::Records log = coordination::EncodeHardState(life.number, 2, life, 0, 1);
   log.push_back(coordination::EncodeEntry(1, {}));
   records = GoodRecords();
   records.insert(records.end(), log.begin(), log.end());
--- a/tests/coordination/cluster.hpp
+++ b/tests/coordination/cluster.hpp
@@ -195,9 +195,9 @@
     Act(i, [this, i] {
       Node& node = *nodes_[i];
       CoordinatorOut out;
-      const Life self{node.name, node.disk_number};
+      const Incarnation self{node.name, node.disk_number};
       bool member = false;
-      for (const Member& each : roster_.members) member = member || each.life == self;
+      for (const Member& each : roster_.members) member = member || each.incarnation == self;
       if (roster_.epoch == 1 && member) node.coordinator->Found(now_, roster_.members, out);
       node.coordinator->SetTarget(now_, roster_.epoch, roster_.members, out);
       Execute(i, std::move(out));
@@ -245,7 +245,7 @@
 
   void Deliver(std::size_t from, ReplicaSending sending) {
     std::size_t to = 0;
-    while (to < nodes_.size() && nodes_[to]->name != sending.to.life.node) ++to;
+    while (to < nodes_.size() && nodes_[to]->name != sending.to.incarnation.node) ++to;
     if (to == nodes_.size() || IsCut(from, to) || Chance(options_.lost)) return;
     std::string bytes = Encode(sending.message);
     At(Between(options_.least_way, options_.most_way), [this, from, to, bytes = std::move(bytes)] {
@@ -293,7 +293,7 @@
   std::multimap<Time, std::function<void()>> events_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
-  agreement::Roster roster_;
+  agreement::Membership roster_;
   std::uint64_t last_disk_ = 0;
   CallId last_call_ = 0;
 };
--- a/tests/coordination/explorer.hpp
+++ b/tests/coordination/explorer.hpp
@@ -154,7 +154,7 @@
   bool Leads(std::size_t i) const {
     if (!running(i)) return false;
     const auto leader = nodes_[i].coordinator->replica().leader();
-    return leader && leader->life == MemberAt(i).life;
+    return leader && leader->incarnation == MemberAt(i).incarnation;
   }
   void Settle() {
     constexpr int kMostRounds = 60;
@@ -322,7 +322,7 @@
   }
   void Take(std::size_t i, CoordinatorOut out) {
     for (ReplicaSending& sending : out.sends) {
-      const std::size_t to = static_cast<std::size_t>(sending.to.life.node.back() - '1');
+      const std::size_t to = static_cast<std::size_t>(sending.to.incarnation.node.back() - '1');
       network_.push_back({i, to, std::move(sending.message)});
     }
     if (out.write) nodes_[i].unsynced = std::move(out.write);
@@ -476,7 +476,7 @@
   std::vector<Node> nodes_{kMembers};
   std::vector<Flight> network_;
   std::optional<std::size_t> isolated_;
-  agreement::Roster roster_;
+  agreement::Membership roster_;
   std::uint64_t last_disk_ = 0;
   CallId last_call_ = 0;
   std::map<CallId, Asked> calls_;
--- a/tests/coordination/history/world.hpp
+++ b/tests/coordination/history/world.hpp
@@ -98,7 +98,7 @@
   std::vector<CoordinationCalls::Candidate> ReachedMembers() override {
     std::vector<CoordinationCalls::Candidate> members;
     for (std::size_t i = 0; i < links_.size(); ++i) {
-      const std::string name = cluster_.MemberAt(i).life.node;
+      const std::string name = cluster_.MemberAt(i).incarnation.node;
       if (home_ == i) {
         if (cluster_.running(i)) members.push_back({name, 0});
         continue;
@@ -346,7 +346,7 @@
     const auto leader = cluster.Leader();
     if (leader && leader != told_) {
       const auto& replica = cluster.coordinator(*leader)->replica();
-      for (auto& gateway : gateways) gateway->TellLeader(replica.term(), replica.self().life.node);
+      for (auto& gateway : gateways) gateway->TellLeader(replica.term(), replica.self().incarnation.node);
     }
     told_ = leader;
     cluster.At(milliseconds(10), [this] { WatchLeader(); });
--- a/tests/coordination/history_search_test.cpp
+++ b/tests/coordination/history_search_test.cpp
@@ -171,10 +171,10 @@
     const auto leader = world_.cluster.Leader();
     if (!wiped_.empty() || !leader) return false;
     const auto& voters = world_.cluster.coordinator(*leader)->replica().voters();
-    std::set<agreement::Life> lives;
-    for (const Member& voter : voters) lives.insert(voter.life);
+    std::set<agreement::Incarnation> lives;
+    for (const Member& voter : voters) lives.insert(voter.incarnation);
     bool all = voters.size() == roster_.size();
-    for (const std::size_t i : roster_) all = all && lives.contains(world_.cluster.MemberAt(i).life);
+    for (const std::size_t i : roster_) all = all && lives.contains(world_.cluster.MemberAt(i).incarnation);
     return all;
   }
   void TellRoster() { world_.cluster.SetRoster({roster_.begin(), roster_.end()}); }
--- a/tests/coordination/replica_records_test.cpp
+++ b/tests/coordination/replica_records_test.cpp
@@ -96,7 +96,7 @@
     now_ += milliseconds(10);
     ReplicaOut out;
     const Member leader = Three()[1 + term_ % 2];
-    replica_->OnMessage(now_, {leader, Three()[0].life, term_, std::move(body)}, out);
+    replica_->OnMessage(now_, {leader, Three()[0].incarnation, term_, std::move(body)}, out);
     replica_->Tick(now_, out);
     Take(out);
   }
@@ -167,7 +167,9 @@
     AppendEntries append{last, last == 0 ? 0u : 1u, last, 0,
                          std::vector<LogEntry>(700, LogEntry{1, {}, "c", {}})};
     last += 700;
-    step([&](ReplicaOut& out) { replica.OnMessage(now, {Three()[1], Three()[0].life, 1, append}, out); });
+    step([&](ReplicaOut& out) {
+      replica.OnMessage(now, {Three()[1], Three()[0].incarnation, 1, append}, out);
+    });
     if (last - replica.log_begin() > 10'000)
       step([&](ReplicaOut& out) { replica.Compact(now, replica.applied(), std::to_string(last), out); });
   }
@@ -181,7 +183,7 @@
 // A disk of a voter: a snapshot and five entries.
 Disk Some() {
   Disk disk;
-  Keep(disk, EncodeHardState(kDisk, 3, Life{"core-2", 2}, 10, 15));
+  Keep(disk, EncodeHardState(kDisk, 3, Incarnation{"core-2", 2}, 10, 15));
   Keep(disk, {EncodeSnapshot(10, 2, milliseconds(5), Three(), "state")});
   for (std::uint64_t index = 11; index <= 15; ++index)
     Keep(disk, {EncodeEntry(index, {3, milliseconds(index), "c", {}})});
@@ -216,7 +218,7 @@
   BOOST_REQUIRE(none);
   BOOST_TEST((*none == ReplicaState{}));
   Member self = Three()[0];
-  self.life.disk = kDisk + 1;
+  self.incarnation.number = kDisk + 1;
   Replica replica(self, *none, {}, 1);
   ReplicaOut out;
   replica.Tick(Time{std::chrono::hours(1)}, out);
--- a/tests/coordination/replica_rules_test.cpp
+++ b/tests/coordination/replica_rules_test.cpp
@@ -50,7 +50,7 @@
     NoteWrite();
   }
   void Hear(const Member& from, std::uint64_t term, ReplicaBody body) {
-    replica.OnMessage(now, {from, MemberNumber(1).life, term, std::move(body)}, out);
+    replica.OnMessage(now, {from, MemberNumber(1).incarnation, term, std::move(body)}, out);
     NoteWrite();
   }
   void EndWrite(bool ok = true) {
--- a/tests/coordination/replica_search_test.cpp
+++ b/tests/coordination/replica_search_test.cpp
@@ -128,16 +128,16 @@
     if (!leader) return;
     const Replica& replica = cluster_.coordinator(*leader)->replica();
     if (replica.applied() != replica.log_last()) return;
-    std::set<Life> voters;
-    for (const Member& voter : replica.voters()) voters.insert(voter.life);
+    std::set<Incarnation> voters;
+    for (const Member& voter : replica.voters()) voters.insert(voter.incarnation);
     std::erase_if(lost_, [&](const auto& lost) {
-      return !voters.contains(lost.second) && voters.contains(cluster_.MemberAt(lost.first).life);
+      return !voters.contains(lost.second) && voters.contains(cluster_.MemberAt(lost.first).incarnation);
     });
   }
   void Wipe(std::size_t member) {
     ForgetSettled();
     if (lost_.size() >= kMostLost) return;
-    lost_.emplace(member, cluster_.MemberAt(member).life);
+    lost_.emplace(member, cluster_.MemberAt(member).incarnation);
     cluster_.Wipe(member);
     left_out_.reset();
     ApplyRoster();
@@ -234,9 +234,9 @@
     const auto leader = cluster_.Leader();
     if (!leader) return Fail("no leader in the end");
     const Replica& leads = cluster_.coordinator(*leader)->replica();
-    std::set<Life> voters, members;
-    for (const Member& voter : leads.voters()) voters.insert(voter.life);
-    for (std::size_t i = 0; i < members_; ++i) members.insert(cluster_.MemberAt(i).life);
+    std::set<Incarnation> voters, members;
+    for (const Member& voter : leads.voters()) voters.insert(voter.incarnation);
+    for (std::size_t i = 0; i < members_; ++i) members.insert(cluster_.MemberAt(i).incarnation);
     if (voters != members) Fail("the voters are not the roster's in the end");
     for (std::size_t i = 0; i < members_; ++i)
       if (cluster_.coordinator(i)->replica().applied() != leads.applied())
@@ -249,10 +249,11 @@
     for (std::size_t i = 0; i < members_; ++i) {
       if (!cluster_.running(i)) continue;
       const Replica& replica = cluster_.coordinator(i)->replica();
-      told << "\n  " << replica.self().life.node << "/" << replica.self().life.disk << " term "
-           << replica.term() << " log " << replica.log_begin() << ".." << replica.log_last() << " applied "
-           << replica.applied() << (replica.serving() ? " serves" : "") << " voters";
-      for (const Member& voter : replica.voters()) told << " " << voter.life.node << "/" << voter.life.disk;
+      told << "\n  " << replica.self().incarnation.node << "/" << replica.self().incarnation.number
+           << " term " << replica.term() << " log " << replica.log_begin() << ".." << replica.log_last()
+           << " applied " << replica.applied() << (replica.serving() ? " serves" : "") << " voters";
+      for (const Member& voter : replica.voters())
+        told << " " << voter.incarnation.node << "/" << voter.incarnation.number;
     }
     return told.str();
   }
@@ -262,7 +263,7 @@
   void CheckSent(std::size_t from, const ReplicaMessage& message) {
     const auto* append = std::get_if<AppendEntries>(&message.body);
     if (append == nullptr && !std::holds_alternative<InstallSnapshot>(message.body)) return;
-    const auto leads = std::pair(message.from.life, cluster_.process(from));
+    const auto leads = std::pair(message.from.incarnation, cluster_.process(from));
     if (led_.try_emplace(message.term, leads).first->second != leads)
       Fail("two leaders of term " + std::to_string(message.term));
     if (append == nullptr) return;
@@ -293,11 +294,11 @@
   Cluster cluster_;
   std::string failure_;
   std::optional<std::size_t> left_out_;
-  std::set<std::pair<std::size_t, Life>> lost_;
+  std::set<std::pair<std::size_t, Incarnation>> lost_;
   Time stalled_until_{};
   std::uint64_t number_ = 0, revision_ = 0, puts_ = 0;
   std::set<std::uint64_t> numbers_, revisions_;
-  std::map<std::uint64_t, std::pair<Life, std::uint64_t>> led_;
+  std::map<std::uint64_t, std::pair<Incarnation, std::uint64_t>> led_;
   std::map<std::pair<std::uint64_t, std::uint64_t>, LogEntry> sent_;
   std::map<std::uint64_t, std::string> states_;
   std::pair<std::uint64_t, std::uint64_t> seen_[kMostMembers];
--- a/tests/coordination/replica_test.cpp
+++ b/tests/coordination/replica_test.cpp
@@ -53,7 +53,7 @@
   std::set<std::string> names;
   if (const auto leader = cluster.Leader())
     for (const Member& voter : cluster.coordinator(*leader)->replica().voters())
-      names.insert(voter.life.node);
+      names.insert(voter.incarnation.node);
   return names;
 }
 
--- a/tests/storage/crash_test.cpp
+++ b/tests/storage/crash_test.cpp
@@ -314,7 +314,7 @@
 
   bool Write(Storage& storage) {
     std::uint64_t id = ++attempted, version = id - id % 2;
-    agreement::State state;
+    agreement::CoreState state;
     state.promised.round = id;
     Records records{{agreement::kStateKey, agreement::EncodeState(state)}};
     if (version != value)
--- a/tests/storage/trouble_test.cpp
+++ b/tests/storage/trouble_test.cpp
@@ -9,16 +9,16 @@
 namespace curlewdoor::storage {
 namespace {
 
+using agreement::CallOutcome;
+using agreement::CallResult;
 using agreement::Core;
-using agreement::Done;
-using agreement::Out;
-using agreement::Outcome;
+using agreement::CoreOutput;
 using std::chrono::milliseconds;
 
 agreement::Member MemberOf(std::size_t i) {
   agreement::Member member;
-  member.life.node = std::string(1, static_cast<char>('a' + i));
-  member.life.disk = 1;
+  member.incarnation.node = std::string(1, static_cast<char>('a' + i));
+  member.incarnation.number = 1;
   member.address = "10.0.0." + std::to_string(i) + ":7101";
   return member;
 }
@@ -26,16 +26,17 @@
 class Trio {
  public:
   Trio() {
-    agreement::State state;
-    state.roster.epoch = 1;
-    state.roster.first_size = 3;
-    for (std::size_t i = 0; i < 3; ++i) state.roster.members.push_back(MemberOf(i));
-    for (std::size_t i = 0; i < 3; ++i) cores_[i].emplace(MemberOf(i), false, state, agreement::Options{}, i);
+    agreement::CoreState state;
+    state.membership.epoch = 1;
+    state.membership.initial_size = 3;
+    for (std::size_t i = 0; i < 3; ++i) state.membership.members.push_back(MemberOf(i));
+    for (std::size_t i = 0; i < 3; ++i)
+      cores_[i].emplace(MemberOf(i), false, state, agreement::CoreOptions{}, i);
     Pass(milliseconds(500));
   }
 
   void Put(std::size_t i, std::uint64_t version) {
-    Out out;
+    CoreOutput out;
     cores_[i]->Put(now_, version, {version, "text"}, out);
     Carry(i, std::move(out));
     Settle();
@@ -44,7 +45,7 @@
     for (auto end = now_ + span; now_ < end;) {
       now_ += milliseconds(50);
       for (std::size_t i = 0; i < 3; ++i) {
-        Out out;
+        CoreOutput out;
         cores_[i]->Tick(now_, out);
         Carry(i, std::move(out));
       }
@@ -54,32 +55,32 @@
   Core& core(std::size_t i) { return *cores_[i]; }
   MemoryStorage& storage(std::size_t i) { return storages_[i]; }
 
-  std::map<std::uint64_t, Outcome> done;  // by version
-  std::map<std::size_t, int> promises;    // what each said that rests on its disk
-  int refused = 0, full = 0;              // writes; and those that the storage didn't take
+  std::map<std::uint64_t, CallOutcome> done;  // by version
+  std::map<std::size_t, int> promises;        // what each said that rests on its disk
+  int refused = 0, full = 0;                  // writes; and those that the storage didn't take
 
  private:
-  void Carry(std::size_t i, Out out) {
-    for (agreement::Write& write : out.writes) {
+  void Carry(std::size_t i, CoreOutput out) {
+    for (agreement::StorageWrite& write : out.writes) {
       if (storages_[i].Write(write.id, std::move(write.records))) continue;
       ++full;
-      Out failed;
+      CoreOutput failed;
       cores_[i]->OnWritten(now_, write.id, false, failed);
       Carry(i, std::move(failed));
     }
-    for (agreement::Sending& s : out.sends) {
+    for (agreement::OutgoingMessage& s : out.sends) {
       const auto& body = s.message.body;
-      const auto* accepted = std::get_if<agreement::Accepted>(&body);
+      const auto* accepted = std::get_if<agreement::RegisterAccepted>(&body);
       if (accepted != nullptr && accepted->ok) ++promises[i];
-      const auto* promised = std::get_if<agreement::Promised>(&body);
+      const auto* promised = std::get_if<agreement::RegisterPromise>(&body);
       if (promised != nullptr && promised->ok) ++promises[i];
-      if (std::holds_alternative<agreement::EpochPromised>(body)) ++promises[i];
+      if (std::holds_alternative<agreement::EpochPromise>(body)) ++promises[i];
       if (std::holds_alternative<agreement::EpochAccepted>(body)) ++promises[i];
       std::size_t to = 0;
       while (MemberOf(to).address != s.to.address) ++to;
       mail_.emplace_back(to, std::move(s.message));
     }
-    for (Done& d : out.done) done[d.call] = d.outcome;
+    for (CallResult& d : out.results) done[d.call] = d.outcome;
   }
   void Settle() {
     for (bool more = true; more;) {
@@ -87,7 +88,7 @@
       if (more) {
         auto [to, message] = std::move(mail_.front());
         mail_.pop_front();
-        Out out;
+        CoreOutput out;
         cores_[to]->OnMessage(now_, message, out);
         Carry(to, std::move(out));
       }
@@ -95,7 +96,7 @@
         for (const Result& result : storages_[i].Drain()) {
           more = true;
           refused += result.ok ? 0 : 1;
-          Out out;
+          CoreOutput out;
           cores_[i]->OnWritten(now_, result.id, result.ok, out);
           Carry(i, std::move(out));
         }
@@ -106,7 +107,7 @@
   agreement::Time now_ = agreement::Time{} + std::chrono::hours(1);
   std::optional<Core> cores_[3];
   MemoryStorage storages_[3];
-  std::deque<std::pair<std::size_t, agreement::Message>> mail_;
+  std::deque<std::pair<std::size_t, agreement::CoreMessage>> mail_;
 };
 
 void TroubleAtOne(bool hangs) {
@@ -117,7 +118,7 @@
   trouble(2, true);
   for (std::uint64_t version = 1; version <= 200; ++version) {
     trio.Put(version % 3, version);  // at the one in trouble too: the others keep it
-    BOOST_TEST((trio.done[version] == Outcome::kKept));
+    BOOST_TEST((trio.done[version] == CallOutcome::kInForce));
     trio.Pass(milliseconds(50));
   }
   BOOST_TEST(trio.promises[2] == 0);
@@ -129,12 +130,12 @@
   trouble(1, true);  // two of three: nothing is acknowledged
   trio.Put(0, 201);
   trio.Pass(milliseconds(1000));
-  BOOST_TEST((trio.done[201] == Outcome::kUncertain));
+  BOOST_TEST((trio.done[201] == CallOutcome::kUncertain));
   trouble(1, false);
   trouble(2, false);
   trio.Pass(milliseconds(400));
   trio.Put(0, 202);
-  BOOST_TEST((trio.done[202] == Outcome::kKept));
+  BOOST_TEST((trio.done[202] == CallOutcome::kInForce));
   BOOST_TEST(trio.promises[2] > 0);
   for (std::size_t i = 0; i < 3; ++i) {
     auto state = agreement::DecodeState([&](const std::string& key) { return trio.storage(i).Read(key); });
--- a/tests/system/golden_test.cpp
+++ b/tests/system/golden_test.cpp
@@ -33,8 +33,8 @@
 
 agreement::Member MemberOf(const char* name) {
   agreement::Member member;
-  member.life.node = name;
-  member.life.disk = 0x00c0ffee00c0ffeeULL;
+  member.incarnation.node = name;
+  member.incarnation.number = 0x00c0ffee00c0ffeeULL;
   member.address = "10.8.0.31:7201";
   return member;
 }
@@ -74,77 +74,78 @@
 // A page of the outcomes 9 and 10, as the sample's.
 std::optional<std::string> RewritePage(const std::string& bytes) {
   using namespace agreement;
-  State state;
-  state.ledger = {9, 5, {{}, {}}};
+  CoreState state;
+  state.outcome_log = {9, 5, {{}, {}}};
   const auto read = DecodeState([&](const std::string& key) -> std::optional<std::string> {
     if (key == kStateKey) return EncodeState(state);
     return key == kValueKey ? std::nullopt : std::optional(bytes);
   });
-  return read ? std::optional(EncodePages(read->ledger, 9).at(0).second) : std::nullopt;
+  return read ? std::optional(EncodePages(read->outcome_log, 9).at(0).second) : std::nullopt;
 }
 
 void AddAgreement(std::vector<Sample>& samples) {
   using namespace agreement;
   const std::vector<Member> members{MemberOf("lund-1"), MemberOf("lund-2")};
-  const Value value{8, "{}"};
-  const Accepting accepting{{7, 8}, members};
+  const ConfigValue value{8, "{}"};
+  const AcceptedProposal accepting{{7, 8}, members};
   const Stamp stamp{3, {5, 6}};
-  const std::vector<OrderOutcome> outcomes{{7, {1, 2}, true}, {6, {3, 4}, false}};
-  const Record record = RecordOf(value, {9, 5, outcomes});
-  const std::vector<Body> bodies{Offer{members},
-                                 OfferTaken{true, false},
-                                 InstallEpoch{members, 2, stamp, record},
-                                 Query{stamp},
-                                 QueryReply{true, 3, stamp, {2, {1, 1}}},
-                                 Fetch{stamp},
-                                 Fetched{stamp, true, record},
-                                 Prepare{{5, 6}},
-                                 Promised{true, {5, 6}, stamp},
-                                 Accept{{5, 6}, stamp, outcomes, value, record},
-                                 Accepted{true, false, {5, 6}},
-                                 PrepareEpoch{{5, 6}},
-                                 EpochPromised{true, {5, 6}, accepting},
-                                 AcceptEpoch{{5, 6}, members},
-                                 EpochAccepted{true, {5, 6}, stamp}};
+  const std::vector<PutOutcome> outcomes{{7, {1, 2}, true}, {6, {3, 4}, false}};
+  const Record record = MakeRecord(value, {9, 5, outcomes});
+  const std::vector<CoreMessageBody> bodies{MembershipOffer{members},
+                                            MembershipOfferReply{true, false},
+                                            InstallEpoch{members, 2, stamp, record},
+                                            StatusQuery{stamp},
+                                            StatusReply{true, 3, stamp, {2, {1, 1}}},
+                                            RecordRequest{stamp},
+                                            RecordReply{stamp, true, record},
+                                            RegisterPrepare{{5, 6}},
+                                            RegisterPromise{true, {5, 6}, stamp},
+                                            RegisterAccept{{5, 6}, stamp, outcomes, value, record},
+                                            RegisterAccepted{true, false, {5, 6}},
+                                            EpochPrepare{{5, 6}},
+                                            EpochPromise{true, {5, 6}, accepting},
+                                            EpochAccept{{5, 6}, members},
+                                            EpochAccepted{true, {5, 6}, stamp}};
   const Rewrite rewrite = [](const std::string& bytes) -> std::optional<std::string> {
     const auto message = DecodeMessage(bytes);
     return message ? std::optional(Encode(*message)) : std::nullopt;
   };
-  for (const Body& body : bodies) {
-    Message message;
+  for (const CoreMessageBody& body : bodies) {
+    CoreMessage message;
     message.from = members[0];
     message.id = 77;
     message.epoch = 3;
     message.body = body;
     samples.push_back({"core2-" + std::to_string(body.index()), Encode(message), rewrite, {{}, {1}, {5}}});
   }
-  const founding::Electorate electorate{0x0a08001f, 0x0a080020};
-  const Rewrite rewrite_founding = [](const std::string& bytes) -> std::optional<std::string> {
-    const auto message = DecodeFounding(bytes);
+  const bootstrap::AcceptorSet acceptors{0x0a08001f, 0x0a080020};
+  const Rewrite rewrite_bootstrap = [](const std::string& bytes) -> std::optional<std::string> {
+    const auto message = DecodeBootstrap(bytes);
     return message ? std::optional(Encode(*message)) : std::nullopt;
   };
-  for (const founding::Body& body : std::vector<founding::Body>{
-           founding::Prepare{{5, 6}}, founding::Promise{0x0a08001f, {5, 6}, {7, 8}, accepting},
-           founding::Accept{{5, 6}, members}, founding::Accepted{0x0a08001f, {5, 6}, {7, 8}},
-           founding::Chosen{members}})
+  for (const bootstrap::BootstrapMessageBody& body : std::vector<bootstrap::BootstrapMessageBody>{
+           bootstrap::BootstrapPrepare{{5, 6}},
+           bootstrap::BootstrapPromise{0x0a08001f, {5, 6}, {7, 8}, accepting},
+           bootstrap::BootstrapAccept{{5, 6}, members},
+           bootstrap::BootstrapAccepted{0x0a08001f, {5, 6}, {7, 8}}, bootstrap::BootstrapChosen{members}})
     samples.push_back({"founding-" + std::to_string(body.index()),
-                       Encode(founding::Message{electorate, body}),
-                       rewrite_founding,
+                       Encode(bootstrap::BootstrapMessage{acceptors, body}),
+                       rewrite_bootstrap,
                        {{}, {3}}});
   samples.push_back({"shelf-founding",
-                     EncodeFoundingState({electorate, {7, 8}, accepting}),
+                     EncodeBootstrapState({acceptors, {7, 8}, accepting}),
                      [](const std::string& bytes) -> std::optional<std::string> {
-                       const auto read = DecodeFoundingState(bytes);
-                       return read ? std::optional(EncodeFoundingState(*read)) : std::nullopt;
+                       const auto read = DecodeBootstrapState(bytes);
+                       return read ? std::optional(EncodeBootstrapState(*read)) : std::nullopt;
                      },
                      {{}, {3}}});
-  State state;
-  state.roster.epoch = 4;
-  state.roster.members = members;
-  state.roster.first_size = 2;
+  CoreState state;
+  state.membership.epoch = 4;
+  state.membership.members = members;
+  state.membership.initial_size = 2;
   state.promised = {7, 8};
   state.accepted = accepting;
-  state.bound.push_back(members[1].life);
+  state.accepted_proposers.push_back(members[1].incarnation);
   const Rewrite rewrite_state = [](const std::string& bytes) -> std::optional<std::string> {
     const auto read = DecodeState(bytes, std::nullopt);
     return read ? std::optional(EncodeState(*read)) : std::nullopt;
