--- a/fuzz/coordination.cpp
+++ b/fuzz/coordination.cpp
@@ -17,12 +17,12 @@
   if (!message) return;
   if (const auto* append = std::get_if<AppendEntries>(&message->body)) {
     for (const LogEntry& entry : append->entries) {
-      FUZZ_REQUIRE(entry.command.size() <= kMaxCommand);
+      FUZZ_REQUIRE(entry.command.size() <= kMaxCommandBytes);
       FUZZ_REQUIRE(entry.voters.size() <= kMaxVoters);
     }
   }
   if (const auto* install = std::get_if<InstallSnapshot>(&message->body)) {
-    FUZZ_REQUIRE(install->size <= kMaxSnapshot);
+    FUZZ_REQUIRE(install->size <= kMaxSnapshotBytes);
     FUZZ_REQUIRE(install->voters.size() <= kMaxVoters);
   }
   FUZZ_REQUIRE(DecodeReplicaMessage(Encode(*message)) == message);
@@ -33,10 +33,10 @@
   const auto command = DecodeCommand(bytes);
   if (!command) return;
   FUZZ_REQUIRE(DecodeCommand(Encode(*command)) == command);
-  StateMachine state{Limits{}};
+  StateMachine state{StateMachineLimits{}};
   state.Apply(LoggedTime(1), *command);
   state.Apply(LoggedTime(2), *command);
-  StateMachine again{Limits{}};
+  StateMachine again{StateMachineLimits{}};
   FUZZ_REQUIRE(again.Restore(state.Snapshot()));
   FUZZ_REQUIRE(again.Snapshot() == state.Snapshot());
 }
@@ -53,9 +53,9 @@
 
 // A state that was taken goes on: it is told again as the same, applies commands and lets history pass.
 void CheckSnapshot(std::string_view bytes) {
-  StateMachine state{Limits{}};
+  StateMachine state{StateMachineLimits{}};
   if (!state.Restore(bytes)) return;
-  StateMachine again{Limits{}};
+  StateMachine again{StateMachineLimits{}};
   FUZZ_REQUIRE(again.Restore(state.Snapshot()));
   FUZZ_REQUIRE(again.Snapshot() == state.Snapshot());
   state.Apply(LoggedTime(1), PutKey{"g.k", "v", std::nullopt});
--- a/src/console/storage_commands.cpp
+++ b/src/console/storage_commands.cpp
@@ -72,7 +72,7 @@
 void CheckRecords(const std::string& directory, const RecordsByKey& records) {
   for (const auto& [key, bytes] : records) {
     if (key == kLifeRecord || key == agreement::kStateKey || key == agreement::kValueKey) continue;
-    if (key.starts_with(agreement::kPageKeys) || key.starts_with(coordination::kReplicaKeys)) continue;
+    if (key.starts_with(agreement::kPageKeys) || key.starts_with(coordination::kReplicaKeyPrefix)) continue;
     if (key == agreement::kFoundingKey) {
       if (!agreement::DecodeFoundingState(bytes)) throw BadRecord(directory, "founding: can't be read");
       continue;
--- a/src/coordination/call.hpp
+++ b/src/coordination/call.hpp
@@ -27,18 +27,18 @@
 // ExpireLock is none of them.
 using Call = std::variant<AcquireLock, RenewLock, ReleaseLock, TakeNumber, PutKey, ReadKey, WatchGroup>;
 
-struct KeyRead {
+struct ReadResult {
   std::string value;
   Revision revision = 0;  // 0: there is no such key
-  bool operator==(const KeyRead&) const = default;
+  bool operator==(const ReadResult&) const = default;
 };
-struct Watched {
-  std::vector<Event> events;
+struct WatchResult {
+  std::vector<PutEvent> events;
   Revision revision = 0;
-  bool operator==(const Watched&) const = default;
+  bool operator==(const WatchResult&) const = default;
 };
-struct HistoryGone {  // 410
-  bool operator==(const HistoryGone&) const = default;
+struct HistoryExpired {  // 410
+  bool operator==(const HistoryExpired&) const = default;
 };
 // Nothing was done and nothing will be: this member doesn't lead, or has no room.
 struct NotServed {
@@ -46,10 +46,10 @@
   bool operator==(const NotServed&) const = default;
 };
 // The command may take effect, or may have: leadership was lost meanwhile, or its outcome is forgotten.
-struct Unclear {
-  bool operator==(const Unclear&) const = default;
+struct OutcomeUnknown {
+  bool operator==(const OutcomeUnknown&) const = default;
 };
-using Reply = std::variant<Result, KeyRead, Watched, HistoryGone, NotServed, Unclear>;
+using Reply = std::variant<CommandResult, ReadResult, WatchResult, HistoryExpired, NotServed, OutcomeUnknown>;
 
 std::string Encode(const Call& call);
 std::optional<Call> DecodeCall(std::string_view bytes);
--- a/src/coordination/command.hpp
+++ b/src/coordination/command.hpp
@@ -10,11 +10,11 @@
 
 namespace curlewdoor::coordination {
 
-using Fence = std::uint64_t;     // of a hold; rises over all locks and never repeats. 0: none
-using Revision = std::uint64_t;  // of a put in its group, from 1. 0: the key has none
+using FencingToken = std::uint64_t;  // of a hold; rises over all locks and never repeats. 0: none
+using Revision = std::uint64_t;      // of a put in its group, from 1. 0: the key has none
 
-inline constexpr std::size_t kMaxName = 255;             // bytes of a lock, number, key, holder
-inline constexpr std::size_t kMaxValue = 4096;           // bytes of a key's value
+inline constexpr std::size_t kMaxNameBytes = 255;        // bytes of a lock, number, key, holder
+inline constexpr std::size_t kMaxValueBytes = 4096;      // bytes of a key's value
 inline constexpr std::uint64_t kMaxHoldMs = 86'400'000;  // a day
 
 // Grants the lock to `holder`: 200 with its present fence where it holds the lock already (and more time),
@@ -27,20 +27,20 @@
 // More time for the hold of this holder and fence; refused where there is no such hold.
 struct RenewLock {
   std::string lock, holder;
-  Fence fence = 0;
+  FencingToken fence = 0;
   std::uint64_t hold_ms = 0;
   bool operator==(const RenewLock&) const = default;
 };
 // Ends the hold of this holder and fence; does nothing where there is no such hold.
 struct ReleaseLock {
   std::string lock, holder;
-  Fence fence = 0;
+  FencingToken fence = 0;
   bool operator==(const ReleaseLock&) const = default;
 };
 // The leader's: ends the hold unless it was renewed since (`renewals` differs).
 struct ExpireLock {
   std::string lock;
-  Fence fence = 0;
+  FencingToken fence = 0;
   std::uint64_t renewals = 0;
   bool operator==(const ExpireLock&) const = default;
 };
@@ -57,7 +57,7 @@
 using Command = std::variant<AcquireLock, RenewLock, ReleaseLock, ExpireLock, TakeNumber, PutKey>;
 
 struct LockGranted {
-  Fence fence = 0;
+  FencingToken fence = 0;
   bool operator==(const LockGranted&) const = default;
 };
 struct LockRefused {  // another holds it, or the hold is lost
@@ -78,14 +78,14 @@
   Revision revision = 0;  // that the key has now; 0: none
   bool operator==(const KeyConflict&) const = default;
 };
-struct OutcomeForgotten {  // whether the same put took effect before is no longer known
-  bool operator==(const OutcomeForgotten&) const = default;
+struct OutcomeExpired {  // whether the same put took effect before is no longer known
+  bool operator==(const OutcomeExpired&) const = default;
 };
-struct NoRoom {  // a bound is reached; nothing was done
-  bool operator==(const NoRoom&) const = default;
+struct LimitReached {  // a bound is reached; nothing was done
+  bool operator==(const LimitReached&) const = default;
 };
-using Result =
-    std::variant<LockGranted, LockRefused, Done, NumberTaken, KeyPut, KeyConflict, OutcomeForgotten, NoRoom>;
+using CommandResult = std::variant<LockGranted, LockRefused, Done, NumberTaken, KeyPut, KeyConflict,
+                                   OutcomeExpired, LimitReached>;
 
 std::string Encode(const Command& command);
 // nullopt: not a whole command of this version.
--- a/src/coordination/command_fields.hpp
+++ b/src/coordination/command_fields.hpp
@@ -19,7 +19,7 @@
 inline auto Fields(NumberTaken& v) { return std::tie(v.value); }
 inline auto Fields(KeyPut& v) { return std::tie(v.revision); }
 inline auto Fields(KeyConflict& v) { return std::tie(v.revision); }
-inline auto Fields(OutcomeForgotten&) { return std::tie(); }
-inline auto Fields(NoRoom&) { return std::tie(); }
+inline auto Fields(OutcomeExpired&) { return std::tie(); }
+inline auto Fields(LimitReached&) { return std::tie(); }
 
 }  // namespace curlewdoor::coordination
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -8,7 +8,7 @@
 
 using Fault = CoordinatorOptions::Fault;
 
-std::optional<Command> CommandOf(const Call& call) {
+std::optional<Command> ToCommand(const Call& call) {
   return std::visit(
       [](const auto& each) -> std::optional<Command> {
         if constexpr (std::is_constructible_v<Command, decltype(each)>) return Command(each);
@@ -17,8 +17,8 @@
       call);
 }
 
-Reply ReplyOf(const Result& result) {
-  if (std::holds_alternative<OutcomeForgotten>(result)) return Unclear{};
+Reply ToReply(const CommandResult& result) {
+  if (std::holds_alternative<OutcomeExpired>(result)) return OutcomeUnknown{};
   return result;
 }
 
@@ -29,237 +29,248 @@
       replica_(std::move(self), std::move(from_disk), options.replica, seed),
       state_(options.limits),
       watches_(options.watches) {
-  if (!replica_.snapshot().empty()) unreadable_ = !state_.Restore(replica_.snapshot());
+  if (!replica_.snapshot().empty()) snapshot_unreadable_ = !state_.Restore(replica_.snapshot());
 }
 
-void Coordinator::Found(Time now, std::vector<Member> voters, CoordinatorOut& out) {
-  ReplicaOut from;
-  replica_.Found(now, std::move(voters), from);
-  Settle(now, from, out);
+void Coordinator::Bootstrap(Time now, std::vector<Member> voters, CoordinatorOutput& out) {
+  ReplicaOutput replica_output;
+  replica_.Bootstrap(now, std::move(voters), replica_output);
+  HandleReplicaOutput(now, replica_output, out);
 }
 
-void Coordinator::SetTarget(Time now, std::uint64_t epoch, std::vector<Member> members, CoordinatorOut& out) {
-  ReplicaOut from;
-  replica_.SetTarget(now, epoch, std::move(members), from);
-  Settle(now, from, out);
+void Coordinator::SetTargetVoters(Time now, std::uint64_t epoch, std::vector<Member> members,
+                                  CoordinatorOutput& out) {
+  ReplicaOutput replica_output;
+  replica_.SetTargetVoters(now, epoch, std::move(members), replica_output);
+  HandleReplicaOutput(now, replica_output, out);
 }
 
-void Coordinator::OnMessage(Time now, const ReplicaMessage& message, CoordinatorOut& out) {
-  ReplicaOut from;
-  replica_.OnMessage(now, message, from);
-  Settle(now, from, out);
+void Coordinator::OnMessage(Time now, const ReplicaMessage& message, CoordinatorOutput& out) {
+  ReplicaOutput replica_output;
+  replica_.OnMessage(now, message, replica_output);
+  HandleReplicaOutput(now, replica_output, out);
 }
 
-void Coordinator::OnWritten(Time now, bool ok, CoordinatorOut& out) {
-  ReplicaOut from;
-  replica_.OnWritten(now, ok, from);
-  Settle(now, from, out);
+void Coordinator::OnWritten(Time now, bool ok, CoordinatorOutput& out) {
+  ReplicaOutput replica_output;
+  replica_.OnWritten(now, ok, replica_output);
+  HandleReplicaOutput(now, replica_output, out);
 }
 
-void Coordinator::Tick(Time now, CoordinatorOut& out) {
-  ReplicaOut from;
-  replica_.Tick(now, from);
-  if (leaving_ || unreadable_) replica_.TransferLeadership(now, from);
-  if (replica_.serving() && !unreadable_) ExpireHolds(now, from);
-  Settle(now, from, out);
-  for (const WatchTable::Waiter& due : watches_.TakeDue(now)) AnswerWatch(due.id, due.group, due.after, out);
+void Coordinator::Tick(Time now, CoordinatorOutput& out) {
+  ReplicaOutput replica_output;
+  replica_.Tick(now, replica_output);
+  if (shutting_down_ || snapshot_unreadable_) replica_.TransferLeadership(now, replica_output);
+  if (replica_.serving() && !snapshot_unreadable_) ExpireHolds(now, replica_output);
+  HandleReplicaOutput(now, replica_output, out);
+  for (const WatchTable::Watch& due : watches_.TakeExpired(now))
+    ReplyToWatch(due.id, due.group, due.after, out);
 }
 
 std::optional<Time> Coordinator::NextDue() const { return replica_.NextDue(); }
 
-void Coordinator::Leave(Time now, CoordinatorOut& out) {
-  leaving_ = true;
-  ReplicaOut from;
-  replica_.TransferLeadership(now, from);
-  Settle(now, from, out);
+void Coordinator::BeginShutdown(Time now, CoordinatorOutput& out) {
+  shutting_down_ = true;
+  ReplicaOutput replica_output;
+  replica_.TransferLeadership(now, replica_output);
+  HandleReplicaOutput(now, replica_output, out);
 }
 
 // ---- Calls ----
 
-void Coordinator::OnCall(Time now, CallId id, const Call& call, CoordinatorOut& out) {
-  if (Does(Fault::kReadAtFollower) && std::holds_alternative<ReadKey>(call)) {
-    reads_[id] = call;
-    return AnswerRead(now, id, out);
+void Coordinator::OnCall(Time now, CallId id, const Call& call, CoordinatorOutput& out) {
+  if (HasFault(Fault::kReadAtFollower) && std::holds_alternative<ReadKey>(call)) {
+    pending_reads_[id] = call;
+    return ReplyToRead(now, id, out);
   }
-  if (!replica_.serving() || unreadable_ || commands_.size() + reads_.size() >= options_.most_calls) {
-    out.replies.emplace_back(id, NotHere());
+  if (!replica_.serving() || snapshot_unreadable_ ||
+      pending_commands_.size() + pending_reads_.size() >= options_.max_pending_calls) {
+    out.replies.emplace_back(id, NotServedReply());
     return;
   }
-  ReplicaOut from;
-  if (const auto command = CommandOf(call)) {
-    Execute(now, id, *command, from, out);
+  ReplicaOutput replica_output;
+  if (const auto command = ToCommand(call)) {
+    Execute(now, id, *command, replica_output, out);
   } else {
-    AskToRead(now, id, call, from, out);
+    StartRead(now, id, call, replica_output, out);
   }
-  Settle(now, from, out);
+  HandleReplicaOutput(now, replica_output, out);
 }
 
-void Coordinator::Execute(Time now, CallId id, const Command& command, ReplicaOut& from,
-                          CoordinatorOut& out) {
+void Coordinator::Execute(Time now, CallId id, const Command& command, ReplicaOutput& replica_output,
+                          CoordinatorOutput& out) {
   const std::uint64_t term = replica_.term();
-  const auto index = replica_.Propose(now, Encode(command), from);
+  const auto index = replica_.Propose(now, Encode(command), replica_output);
   if (!index) {
-    out.replies.emplace_back(id, NotHere());
+    out.replies.emplace_back(id, NotServedReply());
     return;
   }
-  commands_[*index] = {id, term};
+  pending_commands_[*index] = {id, term};
 }
 
-void Coordinator::AskToRead(Time now, CallId id, const Call& call, ReplicaOut& from, CoordinatorOut& out) {
-  reads_[id] = call;
-  if (Does(Fault::kReadWithoutAsking)) return AnswerRead(now, id, out);
-  if (replica_.Read(now, id, from)) return;
-  reads_.erase(id);
-  out.replies.emplace_back(id, NotHere());
+void Coordinator::StartRead(Time now, CallId id, const Call& call, ReplicaOutput& replica_output,
+                            CoordinatorOutput& out) {
+  pending_reads_[id] = call;
+  if (HasFault(Fault::kReadWithoutConfirmation)) return ReplyToRead(now, id, out);
+  if (replica_.Read(now, id, replica_output)) return;
+  pending_reads_.erase(id);
+  out.replies.emplace_back(id, NotServedReply());
 }
 
 void Coordinator::Forget(CallId id) {
-  reads_.erase(id);
+  pending_reads_.erase(id);
   watches_.Remove(id);
 }
 
-NotServed Coordinator::NotHere() const {
+NotServed Coordinator::NotServedReply() const {
   const auto leader = replica_.leader();
-  const bool other = leader && leader->life != replica_.self().life;
-  return {other ? leader->life.node : std::string()};
+  const bool another_leads = leader && leader->life != replica_.self().life;
+  return {another_leads ? leader->life.node : std::string()};
 }
 
 // ---- What the replica tells ----
 
-void Coordinator::Settle(Time now, ReplicaOut& from, CoordinatorOut& out) {
-  if (from.snapshot && !Does(Fault::kSnapshotNotRestored)) TakeSnapshot(*from.snapshot, from.notes);
-  for (const CommittedEntry& entry : from.committed) ApplyEntry(now, entry, out);
-  if (from.lost_leadership) StopServing(out);
-  if (from.became_leader) BeginToServe(now);
-  for (const std::uint64_t id : from.reads) AnswerRead(now, id, out);
-  for (const std::uint64_t id : from.reads_lost)
-    if (reads_.erase(id) > 0) out.replies.emplace_back(id, NotHere());
-  MaybeCompact(now, from);
-  std::move(from.sends.begin(), from.sends.end(), std::back_inserter(out.sends));
-  std::move(from.notes.begin(), from.notes.end(), std::back_inserter(out.notes));
-  if (from.write) out.write = std::move(from.write);
-  out.leader_changed = out.leader_changed || from.leader_changed || from.became_leader;
+void Coordinator::HandleReplicaOutput(Time now, ReplicaOutput& replica_output, CoordinatorOutput& out) {
+  if (replica_output.snapshot && !HasFault(Fault::kSnapshotNotRestored))
+    RestoreSnapshot(*replica_output.snapshot, replica_output.log_lines);
+  for (const CommittedEntry& entry : replica_output.committed) ApplyEntry(now, entry, out);
+  if (replica_output.lost_leadership) StopServing(out);
+  if (replica_output.became_leader) StartServing(now);
+  for (const std::uint64_t id : replica_output.confirmed_reads) ReplyToRead(now, id, out);
+  for (const std::uint64_t id : replica_output.failed_reads)
+    if (pending_reads_.erase(id) > 0) out.replies.emplace_back(id, NotServedReply());
+  MaybeCompact(now, replica_output);
+  std::move(replica_output.messages.begin(), replica_output.messages.end(), std::back_inserter(out.messages));
+  std::move(replica_output.log_lines.begin(), replica_output.log_lines.end(),
+            std::back_inserter(out.log_lines));
+  if (replica_output.write) out.write = std::move(replica_output.write);
+  out.leader_changed = out.leader_changed || replica_output.leader_changed || replica_output.became_leader;
 }
 
-void Coordinator::TakeSnapshot(const std::string& snapshot, std::vector<std::string>& notes) {
-  unreadable_ = !state_.Restore(snapshot);
-  if (unreadable_) notes.push_back("can't read a snapshot: answers nothing");
+void Coordinator::RestoreSnapshot(const std::string& snapshot, std::vector<std::string>& log_lines) {
+  snapshot_unreadable_ = !state_.Restore(snapshot);
+  if (snapshot_unreadable_) log_lines.push_back("can't read a snapshot: answers nothing");
 }
 
-void Coordinator::ApplyEntry(Time now, const CommittedEntry& entry, CoordinatorOut& out) {
+void Coordinator::ApplyEntry(Time now, const CommittedEntry& entry, CoordinatorOutput& out) {
   const auto command = DecodeCommand(entry.command);
   if (!command) return;  // of a later version: no replica of this one knows it
-  const Result result = state_.Apply(entry.logged_time, *command);
+  const CommandResult result = state_.Apply(entry.logged_time, *command);
   const auto* put = std::get_if<PutKey>(&*command);
   if (put != nullptr && std::holds_alternative<KeyPut>(result))
-    AnswerWatchers(std::string(StateMachine::GroupOf(put->key)), out);
+    ReplyToReadyWatches(std::string(StateMachine::GroupOf(put->key)), out);
   std::visit(
       [&](const auto& each) {
         if constexpr (requires { each.lock; })
-          if (replica_.serving()) NoteHold(now, each.lock);
+          if (replica_.serving()) UpdateHoldDeadline(now, each.lock);
       },
       *command);
-  const auto waiting = commands_.find(entry.index);
-  if (waiting == commands_.end()) return;
-  const Waiting call = waiting->second;
-  commands_.erase(waiting);
+  const auto pending = pending_commands_.find(entry.index);
+  if (pending == pending_commands_.end()) return;
+  const PendingCommand call = pending->second;
+  pending_commands_.erase(pending);
   if (call.term == entry.term) {
-    out.replies.emplace_back(call.id, ReplyOf(result));
+    out.replies.emplace_back(call.id, ToReply(result));
   } else {  // another leader's entry stands in its place
-    out.replies.emplace_back(call.id, Unclear{});
+    out.replies.emplace_back(call.id, OutcomeUnknown{});
   }
 }
 
 // ---- Holds ----
 
 // The end of a hold as it is by now, in the state.
-void Coordinator::NoteHold(Time now, const std::string& lock) {
-  const auto held = state_.holds().find(lock);
-  if (held == state_.holds().end()) {
-    holdings_.erase(lock);
+void Coordinator::UpdateHoldDeadline(Time now, const std::string& lock) {
+  const auto held_lock = state_.holds().find(lock);
+  if (held_lock == state_.holds().end()) {
+    hold_deadlines_.erase(lock);
     return;
   }
-  const StateMachine::Hold& hold = held->second;
-  Holding& holding = holdings_[lock];
-  if (holding.fence == hold.fence && holding.renewals == hold.renewals && holding.ends != Time{}) return;
-  const bool same = holding.fence == hold.fence;
-  Time ends = now + std::chrono::milliseconds(hold.hold_ms);
-  if (Does(Fault::kHoldFromSending)) ends = now + std::chrono::milliseconds(hold.hold_ms / 2);
-  if (Does(Fault::kRenewalNotNoted) && same) ends = holding.ends;
-  holding = {hold.fence, hold.renewals, same ? std::max(holding.ends, ends) : ends, false};
+  const StateMachine::Hold& hold = held_lock->second;
+  HoldDeadline& hold_deadline = hold_deadlines_[lock];
+  if (hold_deadline.fence == hold.fence && hold_deadline.renewals == hold.renewals &&
+      hold_deadline.deadline != Time{})
+    return;
+  const bool same_hold = hold_deadline.fence == hold.fence;
+  Time deadline = now + std::chrono::milliseconds(hold.hold_ms);
+  if (HasFault(Fault::kHoldExpiresEarly)) deadline = now + std::chrono::milliseconds(hold.hold_ms / 2);
+  if (HasFault(Fault::kRenewalIgnored) && same_hold) deadline = hold_deadline.deadline;
+  hold_deadline = {hold.fence, hold.renewals,
+                   same_hold ? std::max(hold_deadline.deadline, deadline) : deadline, false};
 }
 
 // Nothing is known of when a hold began under an earlier leader, but that it was before now.
-void Coordinator::BeginToServe(Time now) {
-  holdings_.clear();
-  for (const auto& [lock, hold] : state_.holds()) NoteHold(now, lock);
-  if (Does(Fault::kNewLeaderDoesNotWait))
-    for (auto& [lock, holding] : holdings_) holding.ends = now;
+void Coordinator::StartServing(Time now) {
+  hold_deadlines_.clear();
+  for (const auto& [lock, hold] : state_.holds()) UpdateHoldDeadline(now, lock);
+  if (HasFault(Fault::kNewLeaderExpiresHolds))
+    for (auto& [lock, hold_deadline] : hold_deadlines_) hold_deadline.deadline = now;
 }
 
-void Coordinator::ExpireHolds(Time now, ReplicaOut& from) {
-  for (auto& [lock, holding] : holdings_) {
-    if (now < holding.ends || holding.end_proposed) continue;
-    const Command expire = ExpireLock{lock, holding.fence, holding.renewals};
-    holding.end_proposed = replica_.Propose(now, Encode(expire), from).has_value();
+void Coordinator::ExpireHolds(Time now, ReplicaOutput& replica_output) {
+  for (auto& [lock, hold_deadline] : hold_deadlines_) {
+    if (now < hold_deadline.deadline || hold_deadline.expiry_proposed) continue;
+    const Command expire = ExpireLock{lock, hold_deadline.fence, hold_deadline.renewals};
+    hold_deadline.expiry_proposed = replica_.Propose(now, Encode(expire), replica_output).has_value();
   }
 }
 
 // Commands that wait may be committed by the next leader, or not; reads were only questions.
-void Coordinator::StopServing(CoordinatorOut& out) {
-  const Reply unclear = Does(Fault::kRefusedAfterProposal) ? Reply(NotHere()) : Reply(Unclear{});
-  for (const auto& [index, waiting] : commands_) out.replies.emplace_back(waiting.id, unclear);
-  commands_.clear();
-  for (const auto& [id, call] : reads_) out.replies.emplace_back(id, NotHere());
-  reads_.clear();
-  for (const WatchTable::Waiter& waiter : watches_.TakeAll()) out.replies.emplace_back(waiter.id, NotHere());
-  holdings_.clear();
+void Coordinator::StopServing(CoordinatorOutput& out) {
+  const Reply unclear =
+      HasFault(Fault::kRefusedAfterProposal) ? Reply(NotServedReply()) : Reply(OutcomeUnknown{});
+  for (const auto& [index, pending] : pending_commands_) out.replies.emplace_back(pending.id, unclear);
+  pending_commands_.clear();
+  for (const auto& [id, call] : pending_reads_) out.replies.emplace_back(id, NotServedReply());
+  pending_reads_.clear();
+  for (const WatchTable::Watch& ended : watches_.TakeAll())
+    out.replies.emplace_back(ended.id, NotServedReply());
+  hold_deadlines_.clear();
 }
 
 // ---- Reads and watches ----
 
-void Coordinator::AnswerRead(Time now, CallId id, CoordinatorOut& out) {
-  const auto found = reads_.find(id);
-  if (found == reads_.end()) return;
+void Coordinator::ReplyToRead(Time now, CallId id, CoordinatorOutput& out) {
+  const auto found = pending_reads_.find(id);
+  if (found == pending_reads_.end()) return;
   const Call call = std::move(found->second);
-  reads_.erase(found);
+  pending_reads_.erase(found);
   if (const auto* read = std::get_if<ReadKey>(&call)) {
     const auto key = state_.Find(read->key);
-    out.replies.emplace_back(id, key ? KeyRead{key->value, key->revision} : KeyRead{});
+    out.replies.emplace_back(id, key ? ReadResult{key->value, key->revision} : ReadResult{});
     return;
   }
   const auto& watch = std::get<WatchGroup>(call);
-  const auto events = state_.EventsAfter(watch.group, watch.after, options_.watch_bytes);
-  const bool at_once = watch.after == 0 || events.too_old || !events.events.empty() || watch.wait_ms == 0;
-  if (at_once) return AnswerWatch(id, watch.group, watch.after, out);
+  const auto events = state_.EventsAfter(watch.group, watch.after, options_.max_watch_bytes);
+  const bool reply_now = watch.after == 0 || events.too_old || !events.events.empty() || watch.wait_ms == 0;
+  if (reply_now) return ReplyToWatch(id, watch.group, watch.after, out);
   if (!watches_.Add(now, id, watch.group, watch.after, std::chrono::milliseconds(watch.wait_ms)))
-    out.replies.emplace_back(id, Result(NoRoom{}));
+    out.replies.emplace_back(id, CommandResult(LimitReached{}));
 }
 
-void Coordinator::AnswerWatch(CallId id, const std::string& group, Revision after, CoordinatorOut& out) {
-  auto events = state_.EventsAfter(group, after, options_.watch_bytes);
+void Coordinator::ReplyToWatch(CallId id, const std::string& group, Revision after, CoordinatorOutput& out) {
+  auto events = state_.EventsAfter(group, after, options_.max_watch_bytes);
   if (events.too_old) {
-    out.replies.emplace_back(id, HistoryGone{});
+    out.replies.emplace_back(id, HistoryExpired{});
     return;
   }
-  if (Does(Fault::kWatchTellsNewest) && events.events.size() > 1)
+  if (HasFault(Fault::kWatchReturnsNewestOnly) && events.events.size() > 1)
     events.events.erase(events.events.begin(), events.events.end() - 1);
-  if (Does(Fault::kWatchEndsAhead)) ++events.revision;
-  out.replies.emplace_back(id, Watched{std::move(events.events), events.revision});
+  if (HasFault(Fault::kWatchRevisionAhead)) ++events.revision;
+  out.replies.emplace_back(id, WatchResult{std::move(events.events), events.revision});
 }
 
-void Coordinator::AnswerWatchers(const std::string& group, CoordinatorOut& out) {
+void Coordinator::ReplyToReadyWatches(const std::string& group, CoordinatorOutput& out) {
   if (watches_.size() == 0) return;
-  for (const WatchTable::Waiter& ready : watches_.TakeReady(group, state_.GroupRevision(group)))
-    AnswerWatch(ready.id, group, ready.after, out);
+  for (const WatchTable::Watch& ready : watches_.TakeReady(group, state_.GroupRevision(group)))
+    ReplyToWatch(ready.id, group, ready.after, out);
 }
 
-void Coordinator::MaybeCompact(Time now, ReplicaOut& from) {
-  if (unreadable_) return;
-  const bool many = replica_.applied() - replica_.log_begin() >= options_.compact_after;
-  if (!many && replica_.log_bytes() < options_.compact_bytes) return;
+void Coordinator::MaybeCompact(Time now, ReplicaOutput& replica_output) {
+  if (snapshot_unreadable_) return;
+  const bool log_is_long = replica_.applied() - replica_.log_begin() >= options_.compact_after_entries;
+  if (!log_is_long && replica_.log_bytes() < options_.compact_after_bytes) return;
   if (replica_.applied() > replica_.log_begin())
-    replica_.Compact(now, replica_.applied(), state_.Snapshot(), from);
+    replica_.Compact(now, replica_.applied(), state_.Snapshot(), replica_output);
 }
 
 }  // namespace curlewdoor::coordination
--- a/src/coordination/log.cpp
+++ b/src/coordination/log.cpp
@@ -14,8 +14,8 @@
       entries_(std::make_move_iterator(from_disk.entries.begin()),
                std::make_move_iterator(from_disk.entries.end())) {
   from_disk.entries.clear();
-  for (const LogEntry& entry : entries_) bytes_ += entry.command.size();
-  FindVoters();
+  for (const LogEntry& entry : entries_) command_bytes_ += entry.command.size();
+  UpdateVoters();
 }
 
 std::uint64_t Log::TermAt(std::uint64_t index) const {
@@ -27,19 +27,19 @@
 }
 
 void Log::Append(LogEntry entry) {
-  bytes_ += entry.command.size();
+  command_bytes_ += entry.command.size();
   entries_.push_back(std::move(entry));
   if (entries_.back().voters.empty()) return;
   voters_ = entries_.back().voters;
-  voters_index_ = last();
+  voters_index_ = last_index();
 }
 
 void Log::Truncate(std::uint64_t last_kept) {
-  while (last() > last_kept) {
-    bytes_ -= entries_.back().command.size();
+  while (last_index() > last_kept) {
+    command_bytes_ -= entries_.back().command.size();
     entries_.pop_back();
   }
-  if (voters_index_ > last_kept) FindVoters();
+  if (voters_index_ > last_kept) UpdateVoters();
 }
 
 void Log::Compact(std::uint64_t index, std::string bytes) {
@@ -49,29 +49,29 @@
   while (snapshot_index_ < index) {
     LogEntry& first = entries_.front();
     if (!first.voters.empty()) snapshot_voters_ = std::move(first.voters);
-    bytes_ -= first.command.size();
+    command_bytes_ -= first.command.size();
     entries_.pop_front();
     ++snapshot_index_;
   }
   snapshot_ = std::move(bytes);
-  FindVoters();
+  UpdateVoters();
 }
 
-void Log::Install(std::uint64_t index, std::uint64_t term, std::chrono::milliseconds time,
-                  std::vector<Member> voters, std::string bytes) {
+void Log::ReplaceWithSnapshot(std::uint64_t index, std::uint64_t term, std::chrono::milliseconds time,
+                              std::vector<Member> voters, std::string bytes) {
   entries_.clear();
-  bytes_ = 0;
+  command_bytes_ = 0;
   snapshot_index_ = index;
   snapshot_term_ = term;
   snapshot_time_ = time;
   snapshot_voters_ = std::move(voters);
   snapshot_ = std::move(bytes);
-  FindVoters();
+  UpdateVoters();
 }
 
-void Log::Found(std::vector<Member> voters) {
+void Log::Bootstrap(std::vector<Member> voters) {
   snapshot_voters_ = std::move(voters);
-  FindVoters();
+  UpdateVoters();
 }
 
 const std::vector<Member>& Log::VotersAt(std::uint64_t index) const {
@@ -79,8 +79,8 @@
   return index > snapshot_index_ ? At(index).voters : snapshot_voters_;
 }
 
-void Log::FindVoters() {
-  voters_index_ = last();
+void Log::UpdateVoters() {
+  voters_index_ = last_index();
   while (voters_index_ > snapshot_index_ && At(voters_index_).voters.empty()) --voters_index_;
   voters_ = VotersAt(voters_index_);
 }
--- a/src/coordination/log.hpp
+++ b/src/coordination/log.hpp
@@ -16,23 +16,23 @@
  public:
   explicit Log(ReplicaState& from_disk);  // takes the snapshot and the entries out of it
 
-  std::uint64_t begin() const { return snapshot_index_; }  // of the snapshot; entries come behind it
-  std::uint64_t last() const { return snapshot_index_ + entries_.size(); }
-  std::uint64_t last_term() const { return TermAt(last()); }
+  std::uint64_t snapshot_index() const { return snapshot_index_; }  // of the snapshot; entries come behind it
+  std::uint64_t last_index() const { return snapshot_index_ + entries_.size(); }
+  std::uint64_t last_term() const { return TermAt(last_index()); }
   // begin() <= index <= last().
   std::uint64_t TermAt(std::uint64_t index) const;
   std::chrono::milliseconds TimeAt(std::uint64_t index) const;
   const LogEntry& At(std::uint64_t index) const { return entries_[index - snapshot_index_ - 1]; }
 
   void Append(LogEntry entry);
-  void Truncate(std::uint64_t last);  // drops all entries behind it
+  void Truncate(std::uint64_t last_kept);  // drops all entries behind it
   // `bytes` is the state after the entry at `index`, which is in the log.
   void Compact(std::uint64_t index, std::string bytes);
   // The snapshot of another replica; drops all entries.
-  void Install(std::uint64_t index, std::uint64_t term, std::chrono::milliseconds time,
-               std::vector<Member> voters, std::string bytes);
+  void ReplaceWithSnapshot(std::uint64_t index, std::uint64_t term, std::chrono::milliseconds time,
+                           std::vector<Member> voters, std::string bytes);
   // The configuration before any entry. Only of an empty log.
-  void Found(std::vector<Member> voters);
+  void Bootstrap(std::vector<Member> voters);
 
   const std::vector<Member>& voters() const { return voters_; }    // of the newest configuration; empty: none
   std::uint64_t voters_index() const { return voters_index_; }     // of its entry; begin(): the snapshot's
@@ -40,10 +40,10 @@
   const std::vector<Member>& snapshot_voters() const { return snapshot_voters_; }
   const std::string& snapshot() const { return snapshot_; }
   std::chrono::milliseconds snapshot_time() const { return snapshot_time_; }
-  std::size_t bytes() const { return bytes_; }  // of commands behind the snapshot
+  std::size_t command_bytes() const { return command_bytes_; }  // of commands behind the snapshot
 
  private:
-  void FindVoters();
+  void UpdateVoters();
 
   std::uint64_t snapshot_index_ = 0, snapshot_term_ = 0;
   std::chrono::milliseconds snapshot_time_{};
@@ -51,7 +51,7 @@
   std::uint64_t voters_index_ = 0;
   std::string snapshot_;
   std::deque<LogEntry> entries_;
-  std::size_t bytes_ = 0;
+  std::size_t command_bytes_ = 0;
 };
 
 }  // namespace curlewdoor::coordination
--- a/src/coordination/packing.hpp
+++ b/src/coordination/packing.hpp
@@ -25,50 +25,52 @@
 inline auto Fields(agreement::Life& v) { return std::tie(v.node, v.disk); }
 inline auto Fields(agreement::Member& v) { return std::tie(v.life, v.address); }
 
-struct ForeignBytes : std::runtime_error {
-  ForeignBytes() : std::runtime_error("foreign bytes") {}
+struct MalformedBytes : std::runtime_error {
+  MalformedBytes() : std::runtime_error("foreign bytes") {}
 };
 
 class Packer {
  public:
   explicit Packer(std::size_t size_hint) : buffer_(size_hint), packer_(buffer_) {}
 
-  void Put(bool value) { value ? packer_.pack_true() : packer_.pack_false(); }
-  void Put(std::uint32_t value) { packer_.pack_uint32(value); }
-  void Put(std::uint64_t value) { packer_.pack(value); }
-  void Put(std::chrono::milliseconds value) { packer_.pack(static_cast<std::int64_t>(value.count())); }
-  void Put(const std::string& text) {
-    packer_.pack_bin(static_cast<std::uint32_t>(text.size()));
-    packer_.pack_bin_body(text.data(), static_cast<std::uint32_t>(text.size()));
+  void EncodeValue(bool value) { value ? packer_.pack_true() : packer_.pack_false(); }
+  void EncodeValue(std::uint32_t value) { packer_.pack_uint32(value); }
+  void EncodeValue(std::uint64_t value) { packer_.pack(value); }
+  void EncodeValue(std::chrono::milliseconds value) {
+    packer_.pack(static_cast<std::int64_t>(value.count()));
+  }
+  void EncodeValue(const std::string& binary) {
+    packer_.pack_bin(static_cast<std::uint32_t>(binary.size()));
+    packer_.pack_bin_body(binary.data(), static_cast<std::uint32_t>(binary.size()));
   }
   template <typename T>
-  void Put(const std::vector<T>& items) {
+  void EncodeValue(const std::vector<T>& items) {
     packer_.pack_array(static_cast<std::uint32_t>(items.size()));
-    for (const T& item : items) Put(item);
+    for (const T& item : items) EncodeValue(item);
   }
   template <typename T>
-  void Put(const std::optional<T>& item) {
+  void EncodeValue(const std::optional<T>& item) {
     if (!item) {
       packer_.pack_nil();
     } else {
-      Put(*item);
+      EncodeValue(*item);
     }
   }
   template <typename... T>
-  void Put(const std::variant<T...>& item) {
+  void EncodeValue(const std::variant<T...>& item) {
     packer_.pack_array(2);
     packer_.pack(static_cast<std::uint32_t>(item.index()));
-    std::visit([&](const auto& each) { Put(each); }, item);
+    std::visit([&](const auto& each) { EncodeValue(each); }, item);
   }
   template <typename T>
   requires std::is_class_v<T>
-  void Put(const T& value) {
+  void EncodeValue(const T& value) {
     const auto fields = Fields(const_cast<T&>(value));
     packer_.pack_array(std::tuple_size_v<std::remove_cv_t<decltype(fields)>>);
-    std::apply([&](const auto&... each) { (Put(each), ...); }, fields);
+    std::apply([&](const auto&... each) { (EncodeValue(each), ...); }, fields);
   }
 
-  std::string Text() const { return {buffer_.data(), buffer_.size()}; }
+  std::string Bytes() const { return {buffer_.data(), buffer_.size()}; }
 
  private:
   msgpack::sbuffer buffer_;
@@ -78,101 +80,102 @@
 using Object = msgpack::object;
 
 inline const Object& ElementOf(const Object& array, std::size_t index) {
-  if (array.type != msgpack::type::ARRAY || array.via.array.size <= index) throw ForeignBytes();
+  if (array.type != msgpack::type::ARRAY || array.via.array.size <= index) throw MalformedBytes();
   return array.via.array.ptr[index];
 }
 
-inline void Take(const Object& object, bool& value) {
-  if (object.type != msgpack::type::BOOLEAN) throw ForeignBytes();
+inline void DecodeValue(const Object& object, bool& value) {
+  if (object.type != msgpack::type::BOOLEAN) throw MalformedBytes();
   value = object.via.boolean;
 }
-inline void Take(const Object& object, std::uint64_t& value) {
-  if (object.type != msgpack::type::POSITIVE_INTEGER) throw ForeignBytes();
+inline void DecodeValue(const Object& object, std::uint64_t& value) {
+  if (object.type != msgpack::type::POSITIVE_INTEGER) throw MalformedBytes();
   value = object.via.u64;
 }
-inline void Take(const Object& object, std::uint32_t& value) {
+inline void DecodeValue(const Object& object, std::uint32_t& value) {
   std::uint64_t wide = 0;
-  Take(object, wide);
-  if (wide > UINT32_MAX) throw ForeignBytes();
+  DecodeValue(object, wide);
+  if (wide > UINT32_MAX) throw MalformedBytes();
   value = static_cast<std::uint32_t>(wide);
 }
-inline void Take(const Object& object, std::chrono::milliseconds& value) {
-  constexpr std::uint64_t kMostMilliseconds = std::uint64_t{1} << 50;
+inline void DecodeValue(const Object& object, std::chrono::milliseconds& value) {
+  constexpr std::uint64_t kMaxMilliseconds = std::uint64_t{1} << 50;
   std::uint64_t count = 0;
-  Take(object, count);
-  if (count > kMostMilliseconds) throw ForeignBytes();
+  DecodeValue(object, count);
+  if (count > kMaxMilliseconds) throw MalformedBytes();
   value = std::chrono::milliseconds(count);
 }
-inline void Take(const Object& object, std::string& text) {
-  if (object.type != msgpack::type::BIN) throw ForeignBytes();
-  text.assign(object.via.bin.ptr, object.via.bin.size);
+inline void DecodeValue(const Object& object, std::string& binary) {
+  if (object.type != msgpack::type::BIN) throw MalformedBytes();
+  binary.assign(object.via.bin.ptr, object.via.bin.size);
 }
 template <typename T>
-void Take(const Object& object, std::vector<T>& items);
+void DecodeValue(const Object& object, std::vector<T>& items);
 template <typename T>
-void Take(const Object& object, std::optional<T>& item);
+void DecodeValue(const Object& object, std::optional<T>& item);
 template <typename... T>
-void Take(const Object& object, std::variant<T...>& item);
+void DecodeValue(const Object& object, std::variant<T...>& item);
 template <typename T>
 requires std::is_class_v<T>
-void Take(const Object& object, T& value);
+void DecodeValue(const Object& object, T& value);
 
 template <typename T>
-void Take(const Object& object, std::vector<T>& items) {
-  if (object.type != msgpack::type::ARRAY) throw ForeignBytes();
+void DecodeValue(const Object& object, std::vector<T>& items) {
+  if (object.type != msgpack::type::ARRAY) throw MalformedBytes();
   items.clear();
   items.reserve(object.via.array.size);
-  for (std::size_t i = 0; i < object.via.array.size; ++i) Take(object.via.array.ptr[i], items.emplace_back());
+  for (std::size_t i = 0; i < object.via.array.size; ++i)
+    DecodeValue(object.via.array.ptr[i], items.emplace_back());
 }
 template <typename T>
-void Take(const Object& object, std::optional<T>& item) {
+void DecodeValue(const Object& object, std::optional<T>& item) {
   item.reset();
-  if (object.type != msgpack::type::NIL) Take(object, item.emplace());
+  if (object.type != msgpack::type::NIL) DecodeValue(object, item.emplace());
 }
 template <std::size_t kIndex, typename Variant>
-void TakeAlternative(const Object& object, std::uint32_t index, Variant& item) {
+void DecodeAlternative(const Object& object, std::uint32_t index, Variant& item) {
   if constexpr (kIndex == std::variant_size_v<Variant>) {
-    throw ForeignBytes();
+    throw MalformedBytes();
   } else {
-    if (index != kIndex) return TakeAlternative<kIndex + 1>(object, index, item);
+    if (index != kIndex) return DecodeAlternative<kIndex + 1>(object, index, item);
     std::variant_alternative_t<kIndex, Variant> alternative;
-    Take(object, alternative);
+    DecodeValue(object, alternative);
     item = std::move(alternative);
   }
 }
 template <typename... T>
-void Take(const Object& object, std::variant<T...>& item) {
+void DecodeValue(const Object& object, std::variant<T...>& item) {
   std::uint32_t index = 0;
-  Take(ElementOf(object, 0), index);
-  TakeAlternative<0>(ElementOf(object, 1), index, item);
+  DecodeValue(ElementOf(object, 0), index);
+  DecodeAlternative<0>(ElementOf(object, 1), index, item);
 }
 template <typename T>
 requires std::is_class_v<T>
-void Take(const Object& object, T& value) {
+void DecodeValue(const Object& object, T& value) {
   auto fields = Fields(value);
-  if (object.type != msgpack::type::ARRAY) throw ForeignBytes();
+  if (object.type != msgpack::type::ARRAY) throw MalformedBytes();
   std::size_t index = 0;
-  std::apply([&](auto&... each) { (Take(ElementOf(object, index++), each), ...); }, fields);
+  std::apply([&](auto&... each) { (DecodeValue(ElementOf(object, index++), each), ...); }, fields);
 }
 
 template <typename T>
 std::string Pack(const T& value, std::size_t size_hint = 128) {
   Packer packer(size_hint);
-  packer.Put(value);
-  return packer.Text();
+  packer.EncodeValue(value);
+  return packer.Bytes();
 }
 
 template <typename T>
 std::optional<T> Unpack(std::string_view bytes) {
-  constexpr std::size_t kDepth = 12;
+  constexpr std::size_t kMaxDepth = 12;
   try {
-    const msgpack::unpack_limit limit(bytes.size(), 0, 0, bytes.size(), 0, kDepth);
+    const msgpack::unpack_limit limit(bytes.size(), 0, 0, bytes.size(), 0, kMaxDepth);
     std::size_t end = 0;
     const msgpack::object_handle handle = msgpack::unpack(
         bytes.data(), bytes.size(), end, [](auto, std::size_t, void*) { return true; }, nullptr, limit);
     if (end != bytes.size()) return std::nullopt;
     T value;
-    Take(handle.get(), value);
+    DecodeValue(handle.get(), value);
     return value;
   } catch (const std::exception&) {  // ours, msgpack's own, and no memory
     return std::nullopt;
--- a/src/coordination/replica_message.cpp
+++ b/src/coordination/replica_message.cpp
@@ -10,25 +10,25 @@
 
 inline auto Fields(LogEntry& v) { return std::tie(v.term, v.logged_time, v.command, v.voters); }
 inline auto Fields(RequestVote& v) { return std::tie(v.pre_vote, v.transfer, v.last_index, v.last_term); }
-inline auto Fields(Vote& v) { return std::tie(v.pre_vote, v.granted); }
+inline auto Fields(VoteResponse& v) { return std::tie(v.pre_vote, v.granted); }
 inline auto Fields(AppendEntries& v) {
   return std::tie(v.previous_index, v.previous_term, v.commit, v.round, v.entries);
 }
-inline auto Fields(Appended& v) { return std::tie(v.ok, v.index, v.round); }
+inline auto Fields(AppendResponse& v) { return std::tie(v.ok, v.index, v.round); }
 inline auto Fields(InstallSnapshot& v) {
   return std::tie(v.index, v.last_term, v.time, v.voters, v.size, v.offset, v.round, v.bytes);
 }
-inline auto Fields(SnapshotInstalled& v) { return std::tie(v.index, v.offset, v.round); }
+inline auto Fields(InstallSnapshotResponse& v) { return std::tie(v.index, v.offset, v.round); }
 inline auto Fields(TimeoutNow&) { return std::tie(); }
 inline auto Fields(ReplicaMessage& v) { return std::tie(v.from, v.to, v.term, v.body); }
 
 namespace {
 
-constexpr std::uint32_t kFormat = 1;
+constexpr std::uint32_t kRecordFormat = 1;
 
 // The record that every write holds.
 struct HardState {
-  std::uint32_t format = kFormat;
+  std::uint32_t format = kRecordFormat;
   std::uint64_t disk = 0;
   std::uint64_t term = 0;
   agreement::Life voted_for;  // without a name: nobody
@@ -37,24 +37,24 @@
 auto Fields(HardState& v) {
   return std::tie(v.format, v.disk, v.term, v.voted_for, v.snapshot_index, v.last_index);
 }
-struct KeptSnapshot {
+struct SnapshotRecord {
   std::uint64_t index = 0, term = 0;
   std::chrono::milliseconds time{};
   std::vector<Member> voters;
   std::string bytes;
 };
-auto Fields(KeptSnapshot& v) { return std::tie(v.index, v.term, v.time, v.voters, v.bytes); }
-struct KeptEntry {
+auto Fields(SnapshotRecord& v) { return std::tie(v.index, v.term, v.time, v.voters, v.bytes); }
+struct EntryRecord {
   std::uint64_t index = 0;
   LogEntry entry;
 };
-auto Fields(KeptEntry& v) { return std::tie(v.index, v.entry); }
+auto Fields(EntryRecord& v) { return std::tie(v.index, v.entry); }
 
-const std::string kHardKey = std::string(kReplicaKeys) + "hard";
-const std::string kSnapshotKey = std::string(kReplicaKeys) + "snapshot";
+const std::string kHardStateKey = std::string(kReplicaKeyPrefix) + "hard";
+const std::string kSnapshotKey = std::string(kReplicaKeyPrefix) + "snapshot";
 
 std::string EntryKey(std::uint64_t index) {
-  return std::string(kReplicaKeys) + "log/" + std::to_string(index % kLogSlots);
+  return std::string(kReplicaKeyPrefix) + "log/" + std::to_string(index % kLogSlots);
 }
 
 }  // namespace
@@ -65,50 +65,51 @@
   auto message = packing::Unpack<ReplicaMessage>(bytes);
   if (!message) return std::nullopt;
   const auto* install = std::get_if<InstallSnapshot>(&message->body);
-  if (install != nullptr && (install->size > kMaxSnapshot || install->voters.size() > kMaxVoters))
+  if (install != nullptr && (install->size > kMaxSnapshotBytes || install->voters.size() > kMaxVoters))
     return std::nullopt;
   if (const auto* append = std::get_if<AppendEntries>(&message->body)) {
     const bool sound = std::all_of(append->entries.begin(), append->entries.end(), [](const LogEntry& each) {
-      return each.voters.size() <= kMaxVoters && each.command.size() <= kMaxCommand;
+      return each.voters.size() <= kMaxVoters && each.command.size() <= kMaxCommandBytes;
     });
     if (!sound) return std::nullopt;
   }
   return message;
 }
 
-Records EncodeHardState(std::uint64_t disk, std::uint64_t term,
-                        const std::optional<agreement::Life>& voted_for, std::uint64_t snapshot_index,
-                        std::uint64_t last_index) {
-  return {{kHardKey, packing::Pack(HardState{kFormat, disk, term, voted_for.value_or(agreement::Life{}),
-                                             snapshot_index, last_index})}};
+RecordBatch EncodeHardState(std::uint64_t disk, std::uint64_t term,
+                            const std::optional<agreement::Life>& voted_for, std::uint64_t snapshot_index,
+                            std::uint64_t last_index) {
+  return {{kHardStateKey,
+           packing::Pack(HardState{kRecordFormat, disk, term, voted_for.value_or(agreement::Life{}),
+                                   snapshot_index, last_index})}};
 }
 
 std::pair<std::string, std::string> EncodeEntry(std::uint64_t index, const LogEntry& entry) {
-  return {EntryKey(index), packing::Pack(KeptEntry{index, entry})};
+  return {EntryKey(index), packing::Pack(EntryRecord{index, entry})};
 }
 
 std::pair<std::string, std::string> EncodeSnapshot(std::uint64_t index, std::uint64_t term,
                                                    std::chrono::milliseconds time,
                                                    const std::vector<Member>& voters,
                                                    const std::string& bytes) {
-  return {kSnapshotKey, packing::Pack(KeptSnapshot{index, term, time, voters, bytes}, bytes.size() + 512)};
+  return {kSnapshotKey, packing::Pack(SnapshotRecord{index, term, time, voters, bytes}, bytes.size() + 512)};
 }
 
 std::optional<ReplicaState> DecodeReplicaState(
     std::uint64_t disk, const std::function<std::optional<std::string>(const std::string& key)>& read) {
   ReplicaState state;
-  const auto hard_bytes = read(kHardKey);
+  const auto hard_bytes = read(kHardStateKey);
   if (!hard_bytes) return state;
   const auto hard = packing::Unpack<HardState>(*hard_bytes);
   if (hard && hard->disk != disk) return state;
-  if (!hard || hard->format != kFormat || hard->last_index < hard->snapshot_index ||
+  if (!hard || hard->format != kRecordFormat || hard->last_index < hard->snapshot_index ||
       hard->last_index - hard->snapshot_index >= kLogSlots)
     return std::nullopt;
   state.found = true;
   state.term = hard->term;
   if (!hard->voted_for.node.empty()) state.voted_for = hard->voted_for;
   if (const auto snapshot_bytes = read(kSnapshotKey)) {
-    auto snapshot = packing::Unpack<KeptSnapshot>(*snapshot_bytes);
+    auto snapshot = packing::Unpack<SnapshotRecord>(*snapshot_bytes);
     if (!snapshot || snapshot->index != hard->snapshot_index) return std::nullopt;
     state.snapshot_index = snapshot->index;
     state.snapshot_term = snapshot->term;
@@ -120,7 +121,7 @@
   }
   for (std::uint64_t index = hard->snapshot_index + 1; index <= hard->last_index; ++index) {
     const auto bytes = read(EntryKey(index));
-    auto kept = bytes ? packing::Unpack<KeptEntry>(*bytes) : std::nullopt;
+    auto kept = bytes ? packing::Unpack<EntryRecord>(*bytes) : std::nullopt;
     if (!kept || kept->index != index) return std::nullopt;
     state.entries.push_back(std::move(kept->entry));
   }
--- a/src/coordination/replica_message.hpp
+++ b/src/coordination/replica_message.hpp
@@ -19,8 +19,8 @@
 using agreement::Member;
 
 inline constexpr std::size_t kMaxVoters = 31;
-inline constexpr std::size_t kMaxCommand = 16u << 10;   // bytes of an entry
-inline constexpr std::size_t kMaxSnapshot = 32u << 20;  // bytes
+inline constexpr std::size_t kMaxCommandBytes = 16u << 10;   // bytes of an entry
+inline constexpr std::size_t kMaxSnapshotBytes = 32u << 20;  // bytes
 
 struct LogEntry {
   std::uint64_t term = 0;
@@ -48,7 +48,7 @@
 std::optional<ReplicaState> DecodeReplicaState(
     std::uint64_t disk, const std::function<std::optional<std::string>(const std::string& key)>& read);
 // Keys of all records begin with this.
-inline constexpr std::string_view kReplicaKeys = "coordination/";
+inline constexpr std::string_view kReplicaKeyPrefix = "coordination/";
 
 struct RequestVote {
   bool pre_vote = false;  // asks only; nothing is promised
@@ -56,9 +56,9 @@
   std::uint64_t last_index = 0, last_term = 0;
   bool operator==(const RequestVote&) const = default;
 };
-struct Vote {
+struct VoteResponse {
   bool pre_vote = false, granted = false;
-  bool operator==(const Vote&) const = default;
+  bool operator==(const VoteResponse&) const = default;
 };
 struct AppendEntries {  // without entries: a heartbeat
   std::uint64_t previous_index = 0, previous_term = 0, commit = 0;
@@ -66,11 +66,11 @@
   std::vector<LogEntry> entries;
   bool operator==(const AppendEntries&) const = default;
 };
-struct Appended {
+struct AppendResponse {
   bool ok = false;
   std::uint64_t index = 0;  // ok: synced up to here; else where the leader should look next
   std::uint64_t round = 0;  // of the question
-  bool operator==(const Appended&) const = default;
+  bool operator==(const AppendResponse&) const = default;
 };
 struct InstallSnapshot {  // one chunk
   std::uint64_t index = 0, last_term = 0;
@@ -80,16 +80,16 @@
   std::string bytes;
   bool operator==(const InstallSnapshot&) const = default;
 };
-struct SnapshotInstalled {
+struct InstallSnapshotResponse {
   std::uint64_t index = 0, offset = 0, round = 0;  // bytes that are here; all of them: synced
-  bool operator==(const SnapshotInstalled&) const = default;
+  bool operator==(const InstallSnapshotResponse&) const = default;
 };
 struct TimeoutNow {  // stand for election at once
   bool operator==(const TimeoutNow&) const = default;
 };
 
-using ReplicaBody =
-    std::variant<RequestVote, Vote, AppendEntries, Appended, InstallSnapshot, SnapshotInstalled, TimeoutNow>;
+using ReplicaBody = std::variant<RequestVote, VoteResponse, AppendEntries, AppendResponse, InstallSnapshot,
+                                 InstallSnapshotResponse, TimeoutNow>;
 
 struct ReplicaMessage {
   Member from;
--- a/src/coordination/replica_records.hpp
+++ b/src/coordination/replica_records.hpp
@@ -16,12 +16,12 @@
 
 inline constexpr std::uint64_t kLogSlots = 16'384;
 
-using Records = std::vector<std::pair<std::string, std::string>>;  // key, bytes
+using RecordBatch = std::vector<std::pair<std::string, std::string>>;  // key, bytes
 
 // `disk`: the number of the life that writes.
-Records EncodeHardState(std::uint64_t disk, std::uint64_t term,
-                        const std::optional<agreement::Life>& voted_for, std::uint64_t snapshot_index,
-                        std::uint64_t last_index);
+RecordBatch EncodeHardState(std::uint64_t disk, std::uint64_t term,
+                            const std::optional<agreement::Life>& voted_for, std::uint64_t snapshot_index,
+                            std::uint64_t last_index);
 std::pair<std::string, std::string> EncodeEntry(std::uint64_t index, const LogEntry& entry);
 std::pair<std::string, std::string> EncodeSnapshot(std::uint64_t index, std::uint64_t term,
                                                    std::chrono::milliseconds time,
--- a/src/coordination/state_machine.hpp
+++ b/src/coordination/state_machine.hpp
@@ -30,18 +30,18 @@
 // Logged by the leader: rises through the log, and no faster than a steady clock.
 using LoggedTime = std::chrono::milliseconds;
 
-struct Event {  // a put that took effect
+struct PutEvent {  // a put that took effect
   std::string key, value;
   Revision revision = 0;
-  bool operator==(const Event&) const = default;
+  bool operator==(const PutEvent&) const = default;
 };
 
-struct Limits {
+struct StateMachineLimits {
   LoggedTime history = std::chrono::seconds(40);  // how long puts are kept for watches and resends
   std::size_t locks = 4096, numbers = 4096, keys = 8192;
   std::size_t key_bytes = 8u << 20;      // of names and values of all keys
   std::size_t history_bytes = 8u << 20;  // of all histories; a put beyond it gets NoRoom
-  std::size_t refusals = 256;            // puts that are kept as refused; OutcomeForgotten beyond it
+  std::size_t rejected_puts = 256;       // puts that are kept as refused; OutcomeForgotten beyond it
   // For tests of the tests: a state machine that does something wrong.
   enum class Fault : std::uint8_t {
     kNone,
@@ -58,30 +58,30 @@
  public:
   struct Hold {
     std::string holder;
-    Fence fence = 0;
+    FencingToken fence = 0;
     std::uint64_t hold_ms = 0;   // the longest asked for since the hold began
     std::uint64_t renewals = 0;  // counts AcquireLock and RenewLock that prolonged it
     bool operator==(const Hold&) const = default;
   };
-  struct Read {
+  struct VersionedValue {
     std::string value;
     Revision revision = 0;
   };
-  struct Events {
-    std::vector<Event> events;  // all puts of the group above `after` and up to `revision`, rising
-    Revision revision = 0;      // of the group's newest put, or of the last event where there were too many
-    bool too_old = false;       // some above `after` were dropped: `events` is empty
+  struct EventBatch {
+    std::vector<PutEvent> events;  // all puts of the group above `after` and up to `revision`, rising
+    Revision revision = 0;  // of the group's newest put, or of the last event where there were too many
+    bool too_old = false;   // some above `after` were dropped: `events` is empty
   };
 
-  explicit StateMachine(Limits limits);
+  explicit StateMachine(StateMachineLimits limits);
 
-  Result Apply(LoggedTime at, const Command& command);
+  CommandResult Apply(LoggedTime at, const Command& command);
 
   const std::map<std::string, Hold>& holds() const { return holds_; }  // by lock
-  std::optional<Read> Find(const std::string& key) const;
+  std::optional<VersionedValue> Find(const std::string& key) const;
   // `after` 0 asks for the present revision alone: no events. Ends before an event that would make names and
   // values more than `most_bytes`, but not before the first.
-  Events EventsAfter(const std::string& group, Revision after, std::size_t most_bytes = SIZE_MAX) const;
+  EventBatch EventsAfter(const std::string& group, Revision after, std::size_t max_bytes = SIZE_MAX) const;
   Revision GroupRevision(const std::string& group) const;
   // Up to the first dot, the dot included; a name without a dot is its own group.
   static std::string_view GroupOf(std::string_view key);
@@ -91,58 +91,59 @@
   bool Restore(std::string_view bytes);
 
  private:
-  struct Key {
+  struct KeyState {
     std::string value;
     Revision revision = 0;
-    Revision dropped = 0;  // the newest of its puts that the history has no more, but for the present one
+    Revision newest_dropped =
+        0;  // the newest of its puts that the history has no more, but for the present one
   };
-  struct Recorded {
-    Event event;
+  struct HistoryEntry {
+    PutEvent event;
     LoggedTime at{};
   };
-  struct Group {
-    Revision revision = 0;  // of its newest put
-    Revision floor = 0;     // all puts above it stand in `history`
-    std::deque<Recorded> history;
+  struct KeyGroup {
+    Revision revision = 0;    // of its newest put
+    Revision trimmed_to = 0;  // all puts above it stand in `history`
+    std::deque<HistoryEntry> history;
   };
   // A put that was refused although its expected revision is yet to come.
-  struct Refusal {
+  struct RejectedPut {
     std::string key, value;
     Revision expected = 0;
   };
-  struct Image;
-  using Holds = std::map<std::string, Hold>;
+  struct SnapshotData;
+  using HoldsByLock = std::map<std::string, Hold>;
 
-  Result Do(LoggedTime at, const AcquireLock& acquire);
-  Result Do(LoggedTime at, const RenewLock& renew);
-  Result Do(LoggedTime at, const ReleaseLock& release);
-  Result Do(LoggedTime at, const ExpireLock& expire);
-  Result Do(LoggedTime at, const TakeNumber& take);
-  Result Do(LoggedTime at, const PutKey& put);
-  Holds::iterator FindHold(const std::string& lock, const std::string& holder, Fence fence);
-  static void Prolong(Hold& hold, std::uint64_t hold_ms);
-  std::optional<Revision> FirstRevision(const PutKey& put, const Key* key) const;
-  bool HasRoom(const PutKey& put, const Key* key) const;
-  Result Refuse(const PutKey& put, Revision present);
-  bool WasRefused(const PutKey& put) const;
-  void DropRefusals(const std::string& key, Revision revision);
-  Revision Store(LoggedTime at, const PutKey& put);
-  void DropHistory(LoggedTime now);
-  void DropOldest(Group& group);
-  const Group* FindGroup(std::string_view name) const;
-  Group& FindOrAddGroup(std::string_view name);
-  static bool Consistent(const Image& image);
-  bool Does(Limits::Fault fault) const { return limits_.fault == fault; }
+  CommandResult Execute(LoggedTime at, const AcquireLock& acquire);
+  CommandResult Execute(LoggedTime at, const RenewLock& renew);
+  CommandResult Execute(LoggedTime at, const ReleaseLock& release);
+  CommandResult Execute(LoggedTime at, const ExpireLock& expire);
+  CommandResult Execute(LoggedTime at, const TakeNumber& take);
+  CommandResult Execute(LoggedTime at, const PutKey& put);
+  HoldsByLock::iterator FindHold(const std::string& lock, const std::string& holder, FencingToken fence);
+  static void ExtendHold(Hold& hold, std::uint64_t hold_ms);
+  std::optional<Revision> FindAppliedRevision(const PutKey& put, const KeyState* key) const;
+  bool FitsLimits(const PutKey& put, const KeyState* key) const;
+  CommandResult RejectPut(const PutKey& put, Revision present);
+  bool WasRejected(const PutKey& put) const;
+  void DropRejectedPuts(const std::string& key, Revision revision);
+  Revision StorePut(LoggedTime at, const PutKey& put);
+  void TrimHistory(LoggedTime now);
+  void DropOldestPut(KeyGroup& group);
+  const KeyGroup* FindGroup(std::string_view name) const;
+  KeyGroup& FindOrAddGroup(std::string_view name);
+  static bool IsConsistent(const SnapshotData& data);
+  bool HasFault(StateMachineLimits::Fault fault) const { return limits_.fault == fault; }
 
-  Limits limits_;
-  Fence last_fence_ = 0;
-  Holds holds_;
+  StateMachineLimits limits_;
+  FencingToken last_fence_ = 0;
+  HoldsByLock holds_;
   std::map<std::string, std::uint64_t> numbers_;
-  std::map<std::string, Key> keys_;
-  std::map<std::string, std::uint32_t, std::less<>> group_numbers_;  // by name
-  std::deque<Group> groups_;                                         // by number; none ever goes
-  std::deque<std::uint32_t> drop_order_;  // the group of each put in all histories, the oldest put first
-  std::deque<Refusal> refusals_;
+  std::map<std::string, KeyState> keys_;
+  std::map<std::string, std::uint32_t, std::less<>> group_indexes_;  // by name
+  std::deque<KeyGroup> groups_;                                      // by number; none ever goes
+  std::deque<std::uint32_t> history_order_;  // the group of each put in all histories, the oldest put first
+  std::deque<RejectedPut> rejected_puts_;
   std::size_t key_bytes_ = 0, history_bytes_ = 0;
 };
 
--- a/src/coordination/watch_table.hpp
+++ b/src/coordination/watch_table.hpp
@@ -20,9 +20,9 @@
   using Time = std::chrono::steady_clock::time_point;
   struct Limits {
     std::size_t watches = 16'384;
-    std::chrono::milliseconds longest_wait = std::chrono::seconds(60);
+    std::chrono::milliseconds max_wait = std::chrono::seconds(60);
   };
-  struct Waiter {
+  struct Watch {
     std::uint64_t id = 0;
     std::string group;
     Revision after = 0;
@@ -35,20 +35,20 @@
            std::chrono::milliseconds wait);
   void Remove(std::uint64_t id);
   // Those of the group whose `after` is below this revision; they are taken out.
-  std::vector<Waiter> TakeReady(const std::string& group, Revision revision);
+  std::vector<Watch> TakeReady(const std::string& group, Revision revision);
   // Those whose time is over; they are taken out.
-  std::vector<Waiter> TakeDue(Time now);
-  std::vector<Waiter> TakeAll();
+  std::vector<Watch> TakeExpired(Time now);
+  std::vector<Watch> TakeAll();
   std::optional<Time> NextDue() const;
-  std::size_t size() const { return waiters_.size(); }
+  std::size_t size() const { return pending_.size(); }
 
  private:
-  struct Entry {
-    Waiter waiter;
+  struct PendingWatch {
+    Watch watch;
     Time due{};
   };
   Limits limits_;
-  std::unordered_map<std::uint64_t, Entry> waiters_;
+  std::unordered_map<std::uint64_t, PendingWatch> pending_;
   std::map<std::string, std::multimap<Revision, std::uint64_t>> by_group_;
   std::multimap<Time, std::uint64_t> by_due_;
 };
--- a/src/system/coordination_calls.cpp
+++ b/src/system/coordination_calls.cpp
@@ -22,8 +22,8 @@
 }
 
 bool SaysNoRoom(const Reply& reply) {
-  const auto* result = std::get_if<coordination::Result>(&reply);
-  return result != nullptr && std::holds_alternative<coordination::NoRoom>(*result);
+  const auto* result = std::get_if<coordination::CommandResult>(&reply);
+  return result != nullptr && std::holds_alternative<coordination::LimitReached>(*result);
 }
 
 }  // namespace
@@ -91,7 +91,7 @@
     if (waiting.asking == stream) AskNext(now, number);
     return;
   }
-  if (std::holds_alternative<coordination::Unclear>(reply)) {
+  if (std::holds_alternative<coordination::OutcomeUnknown>(reply)) {
     // It stays in `out`: the command may take effect there. Whoever leads next finds out by a second one.
     if (Does(Options::Fault::kUnclearIsNothingDone)) waiting.out.erase(out);
     if (waiting.asking == stream) AskNext(now, number);
--- a/src/system/coordination_host.cpp
+++ b/src/system/coordination_host.cpp
@@ -6,7 +6,7 @@
 
 namespace curlewdoor::system {
 
-using coordination::CoordinatorOut;
+using coordination::CoordinatorOutput;
 using events::Event;
 using events::Say;
 
@@ -20,38 +20,38 @@
 
 void CoordinationHost::SetRoster(const agreement::Roster& roster) {
   if (roster.epoch == 0) return;
-  CoordinatorOut out;
+  CoordinatorOutput out;
   const auto& self = coordinator_.replica().self();
   const bool member = std::any_of(roster.members.begin(), roster.members.end(),
                                   [&](const agreement::Member& each) { return each.life == self.life; });
-  if (roster.epoch == 1 && member) coordinator_.Found(Now(), roster.members, out);
-  coordinator_.SetTarget(Now(), roster.epoch, roster.members, out);
+  if (roster.epoch == 1 && member) coordinator_.Bootstrap(Now(), roster.members, out);
+  coordinator_.SetTargetVoters(Now(), roster.epoch, roster.members, out);
   Execute(std::move(out));
 }
 
 void CoordinationHost::OnBytes(std::string_view bytes) {
   const auto message = coordination::DecodeReplicaMessage(bytes);
   if (!message) return Say(Event::kMessageRefused, "of the coordination log");
-  CoordinatorOut out;
+  CoordinatorOutput out;
   coordinator_.OnMessage(Now(), *message, out);
   Execute(std::move(out));
 }
 
 void CoordinationHost::OnWritten(bool ok) {
-  CoordinatorOut out;
+  CoordinatorOutput out;
   coordinator_.OnWritten(Now(), ok, out);
   Execute(std::move(out));
 }
 
 void CoordinationHost::Tick() {
-  CoordinatorOut out;
+  CoordinatorOutput out;
   coordinator_.Tick(Now(), out);
   Execute(std::move(out));
 }
 
 void CoordinationHost::Leave() {
-  CoordinatorOut out;
-  coordinator_.Leave(Now(), out);
+  CoordinatorOutput out;
+  coordinator_.BeginShutdown(Now(), out);
   Execute(std::move(out));
 }
 
@@ -60,7 +60,7 @@
   const Origin origin{stream, number};
   origins_[id] = origin;
   ids_.emplace(origin, id);
-  CoordinatorOut out;
+  CoordinatorOutput out;
   coordinator_.OnCall(Now(), id, call, out);
   Execute(std::move(out));
 }
@@ -84,9 +84,9 @@
   ids_.erase(begin, it);
 }
 
-void CoordinationHost::Execute(CoordinatorOut out) {
-  for (auto& sending : out.sends) owner_.SendToReplica(sending.to, coordination::Encode(sending.message));
-  for (const std::string& note : out.notes) Say(Event::kCoordinationNote, note);
+void CoordinationHost::Execute(CoordinatorOutput out) {
+  for (auto& sending : out.messages) owner_.SendToReplica(sending.to, coordination::Encode(sending.message));
+  for (const std::string& note : out.log_lines) Say(Event::kCoordinationNote, note);
   for (auto& [id, reply] : out.replies) Reply(id, std::move(reply));
   const bool written = !out.write || owner_.WriteLog(std::move(*out.write));
   if (out.leader_changed && leads()) {
--- a/src/system/coordination_host.hpp
+++ b/src/system/coordination_host.hpp
@@ -23,7 +23,7 @@
     virtual void SendToReplica(const agreement::Member& to, std::string bytes) = 0;
     virtual void SendTo(std::uint64_t stream, const Message& message) = 0;
     // False: the storage takes no more now. Else OnWritten() follows.
-    virtual bool WriteLog(coordination::Records records) = 0;
+    virtual bool WriteLog(coordination::RecordBatch records) = 0;
     virtual void OnCoordinationReply(std::uint64_t number,
                                      coordination::Reply reply) = 0;  // to a call from here
     virtual void OnCoordinationLeader(std::uint64_t term, const std::string& name) = 0;  // this one leads
@@ -55,7 +55,7 @@
     auto operator<=>(const Origin&) const = default;
   };
   static Steady Now() { return std::chrono::steady_clock::now(); }
-  void Execute(coordination::CoordinatorOut out);
+  void Execute(coordination::CoordinatorOutput out);
   void Reply(coordination::CallId id, coordination::Reply reply);
   void SetTimer();
 
--- a/src/system/coordination_http.cpp
+++ b/src/system/coordination_http.cpp
@@ -29,7 +29,7 @@
 
 std::string NameIn(std::string_view text) {
   if (text.empty()) BadCall("name: missing");
-  if (text.size() > kMaxName) throw CallError(413, "name: too long");
+  if (text.size() > kMaxNameBytes) throw CallError(413, "name: too long");
   if (std::any_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c > '~' || c == '%'; }))
     BadCall("name: characters that no name has");
   return std::string(text);
@@ -56,9 +56,9 @@
   NeedMethod(method, "POST");
   const JsonBody json(body);
   const auto fields = json.fields();
-  std::string holder = fields.Text("holder", true, kMaxName);
+  std::string holder = fields.Text("holder", true, kMaxNameBytes);
   if (verb == "begin") return AcquireLock{lock, holder, WholeIn(fields, "hold_ms", kNeeded, kMaxHoldMs)};
-  const Fence fence = WholeIn(fields, "fence", kNeeded, kMaxExact);
+  const FencingToken fence = WholeIn(fields, "fence", kNeeded, kMaxExact);
   if (verb == "finish") return ReleaseLock{lock, holder, fence};
   return RenewLock{lock, holder, fence, WholeIn(fields, "hold_ms", kNeeded, kMaxHoldMs)};
 }
@@ -73,7 +73,7 @@
   NeedMethod(method, "POST");
   const JsonBody json(body);
   const auto fields = json.fields();
-  PutKey put{key, fields.Text("value", true, kMaxValue), std::nullopt};
+  PutKey put{key, fields.Text("value", true, kMaxValueBytes), std::nullopt};
   if (fields.Has("enabled")) put.expected = WholeIn(fields, "enabled", kNeeded, kMaxExact);
   return put;
 }
@@ -112,10 +112,10 @@
   return {status, body.Print()};
 }
 
-HttpAnswer EncodeEvents(const Watched& watched) {
+HttpAnswer EncodeEvents(const WatchResult& watched) {
   json::Document body;
   cJSON* events = body.List("events");
-  for (const coordination::Event& event : watched.events) {
+  for (const coordination::PutEvent& event : watched.events) {
     auto each = json::AddTo(events);
     each.Text("name", event.key).Text("value", event.value);
     each.Whole("revision", event.revision);
@@ -133,22 +133,22 @@
   HttpAnswer operator()(const KeyConflict& conflict) const {
     return WithNumber(412, "revision", conflict.revision);
   }
-  HttpAnswer operator()(const OutcomeForgotten&) const { return {504, "{}"}; }
-  HttpAnswer operator()(const NoRoom&) const { return {429, "{}"}; }
+  HttpAnswer operator()(const OutcomeExpired&) const { return {504, "{}"}; }
+  HttpAnswer operator()(const LimitReached&) const { return {429, "{}"}; }
 };
 
 struct ReplyEncoder {
-  HttpAnswer operator()(const Result& result) const { return std::visit(ResultEncoder{}, result); }
-  HttpAnswer operator()(const KeyRead& read) const {
+  HttpAnswer operator()(const CommandResult& result) const { return std::visit(ResultEncoder{}, result); }
+  HttpAnswer operator()(const ReadResult& read) const {
     if (read.revision == 0) return {404, "{}"};
     json::Document body;
     body.Text("value", read.value).Whole("revision", read.revision);
     return {200, body.Print()};
   }
-  HttpAnswer operator()(const Watched& watched) const { return EncodeEvents(watched); }
-  HttpAnswer operator()(const HistoryGone&) const { return {410, "{}"}; }
+  HttpAnswer operator()(const WatchResult& watched) const { return EncodeEvents(watched); }
+  HttpAnswer operator()(const HistoryExpired&) const { return {410, "{}"}; }
   HttpAnswer operator()(const NotServed&) const { return {503, "{}"}; }
-  HttpAnswer operator()(const Unclear&) const { return {504, "{}"}; }
+  HttpAnswer operator()(const OutcomeUnknown&) const { return {504, "{}"}; }
 };
 
 }  // namespace
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -245,7 +245,7 @@
   void Handle(Link::Stream& stream, CoordinationLeader& message);
   void Handle(Link::Stream& stream, CoordinationForget& message);
   void SendToReplica(const agreement::Member& to, std::string bytes) override;
-  bool WriteLog(coordination::Records records) override;
+  bool WriteLog(coordination::RecordBatch records) override;
   void OnCoordinationReply(std::uint64_t number, coordination::Reply reply) override;
   void OnCoordinationLeader(std::uint64_t term, const std::string& name) override;
   std::vector<CoordinationCalls::Candidate> ReachedMembers() override;
--- a/src/system/node_coordination.cpp
+++ b/src/system/node_coordination.cpp
@@ -89,7 +89,7 @@
   if (stream != nullptr) stream->Send(Encode(CoordinationBytes{std::move(bytes)}));
 }
 
-bool Node::WriteLog(coordination::Records records) {
+bool Node::WriteLog(coordination::RecordBatch records) {
   if (!life_kept_) records.emplace_back("life", life_);
   return storage_->Write(kLogWrite, std::move(records));
 }
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -117,7 +117,8 @@
   const coordination::Replica& replica = host->coordinator().replica();
   page.Gauge("coordination_leads", host->leads() ? 1 : 0, "Whether this member serves the calls.");
   page.Gauge("coordination_term", replica.term(), "Term of the log, as known here.");
-  page.Counter("coordination_elections_total", replica.elections(), "Elections that this member stood in.");
+  page.Counter("coordination_elections_total", replica.elections_started(),
+               "Elections that this member stood in.");
   page.Gauge("coordination_log_entries", replica.log_last() - replica.log_begin(),
              "Entries behind the snapshot.");
   page.Gauge("coordination_uncommitted", replica.log_last() - replica.applied(),
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -581,7 +581,7 @@
 
   // A log that is damaged, and one whose entries are of this disk.
   const agreement::Life life{"lund-1", 0x00c0ffee00c0ffee};
-  coordination::Records log = coordination::EncodeHardState(life.disk, 2, life, 0, 1);
+  coordination::RecordBatch log = coordination::EncodeHardState(life.disk, 2, life, 0, 1);
   log.push_back(coordination::EncodeEntry(1, {}));
   records = GoodRecords();
   records.insert(records.end(), log.begin(), log.end());
--- a/tests/coordination/cluster.hpp
+++ b/tests/coordination/cluster.hpp
@@ -23,10 +23,10 @@
 
 struct ClusterOptions {
   CoordinatorOptions coordinator;
-  Duration least_way = microseconds(200), most_way = milliseconds(3);  // of a message
-  Duration least_sync = milliseconds(1), most_sync = milliseconds(8);  // of a write
-  double lost = 0;                                                     // share of messages
-  double refused_writes = 0;                                           // share
+  Duration min_delay = microseconds(200), max_delay = milliseconds(3);  // of a message
+  Duration min_sync = milliseconds(1), max_sync = milliseconds(8);      // of a write
+  double loss_rate = 0;                                                 // share of messages
+  double write_failure_rate = 0;                                        // share
 };
 
 class Cluster {
@@ -40,8 +40,8 @@
       nodes_[i]->name = "core-" + std::to_string(i + 1);
       nodes_[i]->disk_number = ++last_disk_;
     }
-    roster_.epoch = 1;
-    for (std::size_t i = 0; i < members; ++i) roster_.members.push_back(MemberAt(i));
+    membership_.epoch = 1;
+    for (std::size_t i = 0; i < members; ++i) membership_.members.push_back(MemberAt(i));
     for (std::size_t i = 0; i < members; ++i) Start(i);
   }
 
@@ -55,13 +55,13 @@
     while (!events_.empty() && events_.begin()->first <= until) {
       const auto event = events_.begin();
       now_ = event->first;
-      const auto act = std::move(event->second);
+      const auto action = std::move(event->second);
       events_.erase(event);
-      act();
+      action();
     }
     now_ = until;
   }
-  void At(Duration after, std::function<void()> act) { events_.emplace(now_ + after, std::move(act)); }
+  void At(Duration after, std::function<void()> action) { events_.emplace(now_ + after, std::move(action)); }
 
   // ---- Members ----
   bool running(std::size_t i) const { return nodes_[i]->coordinator != nullptr; }
@@ -82,17 +82,17 @@
     node.coordinator =
         std::make_unique<Coordinator>(MemberAt(i), std::move(*state), options_.coordinator, random_());
     node.writing = false;
-    ApplyRoster(i);
+    ApplyMembership(i);
     Tick(i, node.process);
   }
   // What it had not synced is gone; a write under way was kept or lost, by chance.
   void Kill(std::size_t i) {
     Node& node = *nodes_[i];
-    if (node.writing && random_() % 2 == 0) Keep(node);
+    if (node.writing && random_() % 2 == 0) PersistWrite(node);
     node.coordinator.reset();
-    node.waiting.clear();
+    node.pending_replies.clear();
     node.frozen = false;
-    node.late.clear();
+    node.deferred.clear();
     ++node.process;
   }
   // Kills it; its disk comes back empty, as another life.
@@ -106,27 +106,27 @@
   void Thaw(std::size_t i) {
     Node& node = *nodes_[i];
     node.frozen = false;
-    auto late = std::exchange(node.late, {});
-    for (auto& act : late) act();
+    auto deferred = std::exchange(node.deferred, {});
+    for (auto& action : deferred) action();
   }
-  void Leave(std::size_t i) {
-    Act(i, [this, i] {
-      CoordinatorOut out;
-      nodes_[i]->coordinator->Leave(now_, out);
-      Execute(i, std::move(out));
+  void BeginShutdown(std::size_t i) {
+    RunInProcess(i, [this, i] {
+      CoordinatorOutput out;
+      nodes_[i]->coordinator->BeginShutdown(now_, out);
+      HandleOutput(i, std::move(out));
     });
   }
-  void StallDisk(std::size_t i, Duration span) { nodes_[i]->disk_free = now_ + span; }
+  void StallDisk(std::size_t i, Duration span) { nodes_[i]->disk_stalled_until = now_ + span; }
   // Nothing goes from one to the other any more.
-  void Cut(std::size_t from, std::size_t to) { cuts_.insert({from, to}); }
-  void HealAll() { cuts_.clear(); }
-  bool IsCut(std::size_t from, std::size_t to) const { return cuts_.contains({from, to}); }
+  void BlockPath(std::size_t from, std::size_t to) { blocked_paths_.insert({from, to}); }
+  void UnblockAllPaths() { blocked_paths_.clear(); }
+  bool IsPathBlocked(std::size_t from, std::size_t to) const { return blocked_paths_.contains({from, to}); }
   // The agreement's next epoch: these members, as their disks are now.
-  void SetRoster(const std::vector<std::size_t>& members) {
-    ++roster_.epoch;
-    roster_.members.clear();
-    for (const std::size_t i : members) roster_.members.push_back(MemberAt(i));
-    for (std::size_t i = 0; i < nodes_.size(); ++i) ApplyRoster(i);
+  void SetMembership(const std::vector<std::size_t>& members) {
+    ++membership_.epoch;
+    membership_.members.clear();
+    for (const std::size_t i : members) membership_.members.push_back(MemberAt(i));
+    for (std::size_t i = 0; i < nodes_.size(); ++i) ApplyMembership(i);
   }
   std::optional<std::size_t> Leader() const {
     for (std::size_t i = 0; i < nodes_.size(); ++i)
@@ -139,10 +139,10 @@
   std::uint64_t disk_number(std::size_t i) const { return nodes_[i]->disk_number; }
   bool frozen(std::size_t i) const { return nodes_[i]->frozen; }
   // From now on messages take so long and get lost so often, and disks refuse so often.
-  void SetTroubles(Duration most_way, double lost, double refused_writes) {
-    options_.most_way = most_way;
-    options_.lost = lost;
-    options_.refused_writes = refused_writes;
+  void SetFaultRates(Duration max_delay, double loss_rate, double write_failure_rate) {
+    options_.max_delay = max_delay;
+    options_.loss_rate = loss_rate;
+    options_.write_failure_rate = write_failure_rate;
   }
   // Called with each message as it is sent, and with each member after each of its steps.
   std::function<void(std::size_t from, const ReplicaMessage& message)> on_send;
@@ -150,13 +150,13 @@
 
   // A call to this member; nothing where it isn't running. Replies may never come.
   void Call(std::size_t i, const coordination::Call& call, OnReply on_reply) {
-    Act(i, [this, i, call, on_reply = std::move(on_reply)] {
+    RunInProcess(i, [this, i, call, on_reply = std::move(on_reply)] {
       Node& node = *nodes_[i];
       const CallId id = ++last_call_;
-      node.waiting[id] = on_reply;
-      CoordinatorOut out;
+      node.pending_replies[id] = on_reply;
+      CoordinatorOutput out;
       node.coordinator->OnCall(now_, id, call, out);
-      Execute(i, std::move(out));
+      HandleOutput(i, std::move(out));
     });
   }
 
@@ -166,59 +166,60 @@
     std::uint64_t disk_number = 0, process = 0;
     std::map<std::string, std::string> disk;
     std::unique_ptr<Coordinator> coordinator;
-    std::map<CallId, OnReply> waiting;
-    Records unsynced;
+    std::map<CallId, OnReply> pending_replies;
+    RecordBatch unsynced_records;
     bool writing = false, frozen = false;
-    Time disk_free{};
-    std::vector<std::function<void()>> late;
+    Time disk_stalled_until{};
+    std::vector<std::function<void()>> deferred;
   };
 
-  Duration Between(Duration least, Duration most) {
-    return least + Duration(std::uniform_int_distribution<Duration::rep>(0, (most - least).count())(random_));
+  Duration RandomDuration(Duration shortest, Duration longest) {
+    return shortest +
+           Duration(std::uniform_int_distribution<Duration::rep>(0, (longest - shortest).count())(random_));
   }
-  bool Chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
+  bool RandomChance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
 
   // Runs it in this process now, or once it has thawed; never in a later one.
-  void Act(std::size_t i, std::function<void()> act) {
+  void RunInProcess(std::size_t i, std::function<void()> action) {
     Node& node = *nodes_[i];
     if (!node.coordinator) return;
     if (node.frozen) {
-      node.late.push_back([this, i, process = node.process, act = std::move(act)] {
-        if (nodes_[i]->process == process && nodes_[i]->coordinator) act();
+      node.deferred.push_back([this, i, process = node.process, action = std::move(action)] {
+        if (nodes_[i]->process == process && nodes_[i]->coordinator) action();
       });
       return;
     }
-    act();
+    action();
   }
 
-  void ApplyRoster(std::size_t i) {
-    Act(i, [this, i] {
+  void ApplyMembership(std::size_t i) {
+    RunInProcess(i, [this, i] {
       Node& node = *nodes_[i];
-      CoordinatorOut out;
+      CoordinatorOutput out;
       const Life self{node.name, node.disk_number};
       bool member = false;
-      for (const Member& each : roster_.members) member = member || each.life == self;
-      if (roster_.epoch == 1 && member) node.coordinator->Found(now_, roster_.members, out);
-      node.coordinator->SetTarget(now_, roster_.epoch, roster_.members, out);
-      Execute(i, std::move(out));
+      for (const Member& each : membership_.members) member = member || each.life == self;
+      if (membership_.epoch == 1 && member) node.coordinator->Bootstrap(now_, membership_.members, out);
+      node.coordinator->SetTargetVoters(now_, membership_.epoch, membership_.members, out);
+      HandleOutput(i, std::move(out));
     });
   }
 
   void Tick(std::size_t i, std::uint64_t process) {
     if (nodes_[i]->process != process) return;
-    Act(i, [this, i] {
-      CoordinatorOut out;
+    RunInProcess(i, [this, i] {
+      CoordinatorOutput out;
       nodes_[i]->coordinator->Tick(now_, out);
-      Execute(i, std::move(out));
+      HandleOutput(i, std::move(out));
     });
     At(milliseconds(20), [this, i, process] { Tick(i, process); });
   }
 
-  void Execute(std::size_t i, CoordinatorOut out) {
+  void HandleOutput(std::size_t i, CoordinatorOutput out) {
     Node& node = *nodes_[i];
     if (on_send)
-      for (const ReplicaSending& sending : out.sends) on_send(i, sending.message);
-    for (ReplicaSending& sending : out.sends) Deliver(i, std::move(sending));
+      for (const OutgoingMessage& outgoing : out.messages) on_send(i, outgoing.message);
+    for (OutgoingMessage& outgoing : out.messages) SendMessage(i, std::move(outgoing));
     if (out.write) Write(i, std::move(*out.write));
     if (const auto due = node.coordinator->NextDue()) {
       const Duration after = std::max(Duration::zero(), *due - now_);
@@ -227,64 +228,64 @@
       });
     }
     for (auto& [id, reply] : out.replies) {
-      const auto found = node.waiting.extract(id);
+      const auto found = node.pending_replies.extract(id);
       if (found) found.mapped()(reply);
     }
     if (on_step) on_step(i);
   }
 
   void Flush(std::size_t i) {
-    Act(i, [this, i] {
+    RunInProcess(i, [this, i] {
       const auto due = nodes_[i]->coordinator->NextDue();
       if (!due || *due > now_) return;
-      CoordinatorOut out;
+      CoordinatorOutput out;
       nodes_[i]->coordinator->Tick(now_, out);
-      Execute(i, std::move(out));
+      HandleOutput(i, std::move(out));
     });
   }
 
-  void Deliver(std::size_t from, ReplicaSending sending) {
+  void SendMessage(std::size_t from, OutgoingMessage outgoing) {
     std::size_t to = 0;
-    while (to < nodes_.size() && nodes_[to]->name != sending.to.life.node) ++to;
-    if (to == nodes_.size() || IsCut(from, to) || Chance(options_.lost)) return;
-    std::string bytes = Encode(sending.message);
-    At(Between(options_.least_way, options_.most_way), [this, from, to, bytes = std::move(bytes)] {
-      if (IsCut(from, to)) return;
-      Act(to, [this, to, bytes] {
+    while (to < nodes_.size() && nodes_[to]->name != outgoing.to.life.node) ++to;
+    if (to == nodes_.size() || IsPathBlocked(from, to) || RandomChance(options_.loss_rate)) return;
+    std::string bytes = Encode(outgoing.message);
+    At(RandomDuration(options_.min_delay, options_.max_delay), [this, from, to, bytes = std::move(bytes)] {
+      if (IsPathBlocked(from, to)) return;
+      RunInProcess(to, [this, to, bytes] {
         const auto message = DecodeReplicaMessage(bytes);
         if (!message) throw std::runtime_error("a message can't be read");
-        CoordinatorOut out;
+        CoordinatorOutput out;
         nodes_[to]->coordinator->OnMessage(now_, *message, out);
-        Execute(to, std::move(out));
+        HandleOutput(to, std::move(out));
       });
     });
   }
 
-  void Write(std::size_t i, Records records) {
+  void Write(std::size_t i, RecordBatch records) {
     Node& node = *nodes_[i];
-    node.unsynced = std::move(records);
+    node.unsynced_records = std::move(records);
     node.writing = true;
-    EndWrite(i, node.process, Between(options_.least_sync, options_.most_sync));
+    EndWrite(i, node.process, RandomDuration(options_.min_sync, options_.max_sync));
   }
 
   void EndWrite(std::size_t i, std::uint64_t process, Duration after) {
     At(after, [this, i, process] {
       Node& node = *nodes_[i];
       if (node.process != process) return;
-      if (now_ < node.disk_free) return EndWrite(i, process, node.disk_free - now_);
-      const bool ok = !Chance(options_.refused_writes);
+      if (now_ < node.disk_stalled_until) return EndWrite(i, process, node.disk_stalled_until - now_);
+      const bool ok = !RandomChance(options_.write_failure_rate);
       node.writing = false;
-      if (ok) Keep(node);
-      Act(i, [this, i, ok] {
-        CoordinatorOut out;
+      if (ok) PersistWrite(node);
+      RunInProcess(i, [this, i, ok] {
+        CoordinatorOutput out;
         nodes_[i]->coordinator->OnWritten(now_, ok, out);
-        Execute(i, std::move(out));
+        HandleOutput(i, std::move(out));
       });
     });
   }
 
-  static void Keep(Node& node) {
-    for (auto& [key, bytes] : node.unsynced) node.disk[key] = bytes;
+  static void PersistWrite(Node& node) {
+    for (auto& [key, bytes] : node.unsynced_records) node.disk[key] = bytes;
   }
 
   ClusterOptions options_;
@@ -292,8 +293,8 @@
   Time now_{std::chrono::hours(1)};
   std::multimap<Time, std::function<void()>> events_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
-  agreement::Roster roster_;
+  std::set<std::pair<std::size_t, std::size_t>> blocked_paths_;
+  agreement::Roster membership_;
   std::uint64_t last_disk_ = 0;
   CallId last_call_ = 0;
 };
--- a/tests/coordination/coordinator_test.cpp
+++ b/tests/coordination/coordinator_test.cpp
@@ -11,29 +11,29 @@
 using std::chrono::milliseconds;
 
 // A core of one: its disk is done at once, and its time passes while it waits.
-class Alone {
+class SingleMember {
  public:
-  explicit Alone(CoordinatorOptions options = {}, ReplicaState from_disk = {})
+  explicit SingleMember(CoordinatorOptions options = {}, ReplicaState from_disk = {})
       : member_(kSelf, std::move(from_disk), options, 1) {
-    CoordinatorOut out;
-    member_.Found(now_, {kSelf}, out);
-    Take(out);
+    CoordinatorOutput out;
+    member_.Bootstrap(now_, {kSelf}, out);
+    HandleOutput(out);
     Run(std::chrono::seconds(3));
   }
 
   void Run(Duration span) {
     for (const Time until = now_ + span; now_ < until;) {
       now_ += milliseconds(20);
-      CoordinatorOut out;
+      CoordinatorOutput out;
       member_.Tick(now_, out);
-      Take(out);
+      HandleOutput(out);
     }
   }
-  std::optional<Reply> Ask(const Call& call) {
+  std::optional<Reply> CallAndWait(const Call& call) {
     const CallId id = ++last_id_;
-    CoordinatorOut out;
+    CoordinatorOutput out;
     member_.OnCall(now_, id, call, out);
-    Take(out);
+    HandleOutput(out);
     Run(milliseconds(100));
     const auto found = replies_.find(id);
     return found == replies_.end() ? std::nullopt : std::optional(found->second);
@@ -43,10 +43,10 @@
   static inline const Member kSelf{{"core-1", 1}, "10.0.0.1:1"};
 
  private:
-  void Take(CoordinatorOut& out) {
+  void HandleOutput(CoordinatorOutput& out) {
     for (auto& [id, reply] : out.replies) BOOST_TEST(replies_.emplace(id, reply).second);
     while (out.write) {
-      CoordinatorOut next;
+      CoordinatorOutput next;
       member_.OnWritten(now_, true, next);
       for (auto& [id, reply] : next.replies) BOOST_TEST(replies_.emplace(id, reply).second);
       out = std::move(next);
@@ -61,27 +61,27 @@
 
 BOOST_AUTO_TEST_CASE(a_watch_of_many_events_is_told_them_in_parts_that_join) {
   CoordinatorOptions options;
-  options.watch_bytes = 1000;
-  Alone core(options);
+  options.max_watch_bytes = 1000;
+  SingleMember core(options);
   for (int i = 1; i <= 40; ++i)
-    BOOST_REQUIRE(core.Ask(PutKey{"g.k", std::to_string(i) + std::string(100, 'v'), std::nullopt}));
+    BOOST_REQUIRE(core.CallAndWait(PutKey{"g.k", std::to_string(i) + std::string(100, 'v'), std::nullopt}));
   Revision after = 1;
   for (int part = 0; after < 40; ++part) {
     BOOST_REQUIRE(part < 10);
-    const auto reply = core.Ask(WatchGroup{"g.", after, 1000});
+    const auto reply = core.CallAndWait(WatchGroup{"g.", after, 1000});
     BOOST_REQUIRE(reply);
-    const auto& watched = std::get<Watched>(*reply);
+    const auto& watched = std::get<WatchResult>(*reply);
     BOOST_REQUIRE(!watched.events.empty());
     BOOST_TEST(watched.events.size() <= 10u);
-    for (const Event& event : watched.events) BOOST_TEST(event.revision == ++after);
+    for (const PutEvent& event : watched.events) BOOST_TEST(event.revision == ++after);
     BOOST_TEST(watched.revision == after);
   }
   // One that is larger than an answer goes alone.
-  BOOST_REQUIRE(core.Ask(PutKey{"g.k", std::string(3000, 'w'), std::nullopt}));
-  const auto reply = core.Ask(WatchGroup{"g.", after, 1000});
+  BOOST_REQUIRE(core.CallAndWait(PutKey{"g.k", std::string(3000, 'w'), std::nullopt}));
+  const auto reply = core.CallAndWait(WatchGroup{"g.", after, 1000});
   BOOST_REQUIRE(reply);
-  BOOST_TEST(std::get<Watched>(*reply).events.size() == 1u);
-  BOOST_TEST(std::get<Watched>(*reply).revision == 41u);
+  BOOST_TEST(std::get<WatchResult>(*reply).events.size() == 1u);
+  BOOST_TEST(std::get<WatchResult>(*reply).revision == 41u);
 }
 
 ReplicaState DiskWith(std::string snapshot) {
@@ -90,22 +90,22 @@
   disk.term = 1;
   disk.snapshot_index = 7;
   disk.snapshot_term = 1;
-  disk.snapshot_voters = {Alone::kSelf};
+  disk.snapshot_voters = {SingleMember::kSelf};
   disk.snapshot = std::move(snapshot);
   return disk;
 }
 
 BOOST_AUTO_TEST_CASE(a_member_whose_snapshot_is_unreadable_answers_nothing) {
-  StateMachine before{Limits{}};
+  StateMachine before{StateMachineLimits{}};
   before.Apply(LoggedTime(0), TakeNumber{"n"});
   CoordinatorOptions options;
-  options.compact_after = 1;
-  Alone whole(options, DiskWith(before.Snapshot()));
-  BOOST_TEST(std::get<NumberTaken>(std::get<Result>(*whole.Ask(TakeNumber{"n"}))).value == 2u);
+  options.compact_after_entries = 1;
+  SingleMember whole(options, DiskWith(before.Snapshot()));
+  BOOST_TEST(std::get<NumberTaken>(std::get<CommandResult>(*whole.CallAndWait(TakeNumber{"n"}))).value == 2u);
 
-  Alone damaged(options, DiskWith("nonsense"));
+  SingleMember damaged(options, DiskWith("nonsense"));
   for (const Call& call : std::vector<Call>{TakeNumber{"n"}, ReadKey{"g.k"}, WatchGroup{"g.", 0, 0}}) {
-    const auto reply = damaged.Ask(call);
+    const auto reply = damaged.CallAndWait(call);
     BOOST_REQUIRE(reply);
     BOOST_TEST(std::holds_alternative<NotServed>(*reply));
   }
--- a/tests/coordination/history/applications.hpp
+++ b/tests/coordination/history/applications.hpp
@@ -24,58 +24,59 @@
   std::size_t locks = 2, numbers = 2, keys = 3, groups = 2;
 };
 
-template <typename World>
+template <typename Environment>
 class Applications {
  public:
-  static constexpr double kResends = 3;  // seconds, of one call
-
-  Applications(World& world, const ApplicationOptions& options) : world_(world), options_(options) {
-    for (std::size_t i = 0; i < options.holders; ++i) Soon([=, this] { Acquire(fmt::format("a{}", i)); });
-    for (std::size_t i = 0; i < options.counters; ++i) Soon([this] { Count(); });
-    for (std::size_t i = 0; i < options.writers; ++i) Soon([this] { Write(); });
-    for (std::size_t i = 0; i < options.readers; ++i) Soon([this] { Read(); });
+  static constexpr double kResendSeconds = 3;  // seconds, of one call
+
+  Applications(Environment& environment, const ApplicationOptions& options)
+      : environment_(environment), options_(options) {
+    for (std::size_t i = 0; i < options.holders; ++i) RunSoon([=, this] { Acquire(fmt::format("a{}", i)); });
+    for (std::size_t i = 0; i < options.counters; ++i) RunSoon([this] { TakeNextNumber(); });
+    for (std::size_t i = 0; i < options.writers; ++i) RunSoon([this] { Write(); });
+    for (std::size_t i = 0; i < options.readers; ++i) RunSoon([this] { Read(); });
     for (std::size_t i = 0; i < options.watchers; ++i)
-      Soon([=, this] { Watch(static_cast<int>(i), fmt::format("g{}.", i % options_.groups), 0); });
+      RunSoon([=, this] { Watch(static_cast<int>(i), fmt::format("g{}.", i % options_.groups), 0); });
   }
   // They begin nothing new; holds and resends come to their end.
   void Stop() { stopped_ = true; }
 
   // After the end: all is asked for once more, again and again for so long.
-  void AskAll(double patience) {
+  void ProbeAllObjects(double patience) {
     for (std::size_t i = 0; i < options_.locks; ++i) {
       const std::string lock = fmt::format("l{}", i);
-      world_.SendUntilClear(LockSeen(Kind::kBegin, lock, "closing", 1000, 0),
-                            AcquireLock{lock, "closing", 1000}, patience, [](const Seen&) {});
+      environment_.SendUntilClear(LockSeen(Kind::kBegin, lock, "closing", 1000, 0),
+                                  AcquireLock{lock, "closing", 1000}, patience, [](const Seen&) {});
     }
     for (std::size_t i = 0; i < options_.numbers; ++i) {
       Seen seen;
       seen.kind = Kind::kNumber;
       seen.name = fmt::format("n{}", i);
-      world_.SendUntilClear(seen, TakeNumber{seen.name}, patience, [](const Seen&) {});
+      environment_.SendUntilClear(seen, TakeNumber{seen.name}, patience, [](const Seen&) {});
     }
     for (std::size_t group = 0; group < options_.groups; ++group) {
       for (std::size_t key = 0; key < options_.keys; ++key)
-        AskKey(fmt::format("g{}.{}", group, key), patience, [](const Seen&) {});
+        ReadOneKey(fmt::format("g{}.{}", group, key), patience, [](const Seen&) {});
       const std::string name = fmt::format("g{}.", group);
       Seen seen;
       seen.kind = Kind::kWatch;
       seen.name = name;
-      seen.after = resume_[name];
-      world_.SendUntilClear(seen, WatchGroup{name, seen.after, 0}, patience, [](const Seen&) {});
+      seen.after = resume_revisions_[name];
+      environment_.SendUntilClear(seen, WatchGroup{name, seen.after, 0}, patience, [](const Seen&) {});
     }
   }
 
  private:
-  void After(double least_s, double most_s, std::function<void()> act) {
-    world_.At(world_.Draw(least_s, most_s), [this, act = std::move(act)] {
-      if (!stopped_) act();
+  void RunAfter(double min_s, double max_s, std::function<void()> action) {
+    environment_.At(environment_.Draw(min_s, max_s), [this, action = std::move(action)] {
+      if (!stopped_) action();
     });
   }
-  void Soon(std::function<void()> act) { After(0, 0.2, std::move(act)); }
+  void RunSoon(std::function<void()> action) { RunAfter(0, 0.2, std::move(action)); }
 
   // ---- Locks
   static Seen LockSeen(Kind kind, const std::string& lock, const std::string& holder, std::uint64_t hold_ms,
-                       Fence fence) {
+                       FencingToken fence) {
     Seen seen;
     seen.kind = kind;
     seen.name = lock;
@@ -84,82 +85,84 @@
     seen.fence = fence;
     return seen;
   }
-  static double Ends(const Seen& call) { return call.sent + static_cast<double>(call.hold_ms) / 1000; }
+  static double HoldEnd(const Seen& call) { return call.sent + static_cast<double>(call.hold_ms) / 1000; }
 
   void Acquire(const std::string& holder) {
-    const std::string lock = fmt::format("l{}", world_.Pick(options_.locks));
-    const std::uint64_t hold_ms = 300 + world_.Pick(1700);
-    world_.SendUntilClear(LockSeen(Kind::kBegin, lock, holder, hold_ms, 0),
-                          AcquireLock{lock, holder, hold_ms}, kResends, [=, this](const Seen& seen) {
-                            const bool holds = seen.good() && world_.Seconds() < Ends(seen);
-                            if (!holds) return After(0.01, 0.4, [=, this] { Acquire(holder); });
-                            Hold(seen, Ends(seen), world_.Pick(6));
-                          });
+    const std::string lock = fmt::format("l{}", environment_.Pick(options_.locks));
+    const std::uint64_t hold_ms = 300 + environment_.Pick(1700);
+    environment_.SendUntilClear(
+        LockSeen(Kind::kBegin, lock, holder, hold_ms, 0), AcquireLock{lock, holder, hold_ms}, kResendSeconds,
+        [=, this](const Seen& seen) {
+          const bool still_held = seen.good() && environment_.Seconds() < HoldEnd(seen);
+          if (!still_held) return RunAfter(0.01, 0.4, [=, this] { Acquire(holder); });
+          Hold(seen, HoldEnd(seen), environment_.Pick(6));
+        });
   }
-  void Hold(const Seen& begin, double ends, std::size_t renewals) {
-    if (world_.Seconds() >= ends) return After(0.01, 0.4, [=, this] { Acquire(begin.holder); });
-    switch (renewals == 0 ? world_.Pick(5) : 5) {
+  void Hold(const Seen& begin, double hold_end, std::size_t renewals) {
+    if (environment_.Seconds() >= hold_end) return RunAfter(0.01, 0.4, [=, this] { Acquire(begin.holder); });
+    switch (renewals == 0 ? environment_.Pick(5) : 5) {
       case 0: {  // dies
-        world_.NoteStopped(begin, world_.Seconds());
-        return After(0.05, 2, [=, this] { Acquire(begin.holder); });
+        environment_.NoteStopped(begin, environment_.Seconds());
+        return RunAfter(0.05, 2, [=, this] { Acquire(begin.holder); });
       }
       case 1:  // sleeps beyond its time, and goes on as if it held it
-        return After(0.2, 3, [=, this] { Renew(begin, ends, 0); });
+        return RunAfter(0.2, 3, [=, this] { Renew(begin, hold_end, 0); });
       case 5:
-        return After(0.02, static_cast<double>(begin.hold_ms) / 2000,
-                     [=, this] { Renew(begin, ends, renewals); });
+        return RunAfter(0.02, static_cast<double>(begin.hold_ms) / 2000,
+                        [=, this] { Renew(begin, hold_end, renewals); });
       default:
-        return After(0, 0.02, [=, this] { Release(begin); });
+        return RunAfter(0, 0.02, [=, this] { Release(begin); });
     }
   }
-  void Renew(const Seen& begin, double ends, std::size_t renewals) {
+  void Renew(const Seen& begin, double hold_end, std::size_t renewals) {
     const Seen seen = LockSeen(Kind::kHeartbeat, begin.name, begin.holder, begin.hold_ms, begin.fence);
-    world_.SendUntilClear(seen, RenewLock{seen.name, seen.holder, seen.fence, seen.hold_ms},
-                          std::max(0.05, ends - world_.Seconds()), [=, this](const Seen& answered) {
-                            const bool holds = answered.good() && world_.Seconds() < ends;
-                            if (!holds) return After(0.01, 0.3, [=, this] { Acquire(begin.holder); });
-                            Hold(begin, std::max(ends, Ends(answered)), renewals == 0 ? 0 : renewals - 1);
-                          });
+    environment_.SendUntilClear(
+        seen, RenewLock{seen.name, seen.holder, seen.fence, seen.hold_ms},
+        std::max(0.05, hold_end - environment_.Seconds()), [=, this](const Seen& answered) {
+          const bool still_held = answered.good() && environment_.Seconds() < hold_end;
+          if (!still_held) return RunAfter(0.01, 0.3, [=, this] { Acquire(begin.holder); });
+          Hold(begin, std::max(hold_end, HoldEnd(answered)), renewals == 0 ? 0 : renewals - 1);
+        });
   }
   void Release(const Seen& begin) {
     const Seen seen = LockSeen(Kind::kFinish, begin.name, begin.holder, 0, begin.fence);
-    world_.SendUntilClear(seen, ReleaseLock{seen.name, seen.holder, seen.fence}, kResends,
-                          [=, this](const Seen& answered) {
-                            // A release without an answer may come late, and would end the next hold with
-                            // this fence: it waits until no hold can have it.
-                            const double pause = answered.good() ? 0 : 8;
-                            After(pause, pause + 0.3, [=, this] { Acquire(begin.holder); });
-                          });
+    environment_.SendUntilClear(seen, ReleaseLock{seen.name, seen.holder, seen.fence}, kResendSeconds,
+                                [=, this](const Seen& answered) {
+                                  // A release without an answer may come late, and would end the next hold
+                                  // with this fence: it waits until no hold can have it.
+                                  const double pause = answered.good() ? 0 : 8;
+                                  RunAfter(pause, pause + 0.3, [=, this] { Acquire(begin.holder); });
+                                });
   }
 
   // ---- Numbers
-  void Count() {
+  void TakeNextNumber() {
     Seen seen;
     seen.kind = Kind::kNumber;
-    seen.name = fmt::format("n{}", world_.Pick(options_.numbers));
-    world_.SendUntilClear(seen, TakeNumber{seen.name}, kResends,
-                          [this](const Seen&) { After(0.005, 0.06, [this] { Count(); }); });
+    seen.name = fmt::format("n{}", environment_.Pick(options_.numbers));
+    environment_.SendUntilClear(seen, TakeNumber{seen.name}, kResendSeconds,
+                                [this](const Seen&) { RunAfter(0.005, 0.06, [this] { TakeNextNumber(); }); });
   }
 
   // ---- Keys
-  std::string AnyKey() {
-    return fmt::format("g{}.{}", world_.Pick(options_.groups), world_.Pick(options_.keys));
+  std::string RandomKey() {
+    return fmt::format("g{}.{}", environment_.Pick(options_.groups), environment_.Pick(options_.keys));
   }
-  void AskKey(const std::string& key, double patience, typename World::OnSeen on_seen) {
+  void ReadOneKey(const std::string& key, double patience, typename Environment::OnSeen on_seen) {
     Seen seen;
     seen.kind = Kind::kRead;
     seen.name = key;
-    world_.SendUntilClear(seen, ReadKey{key}, patience, std::move(on_seen));
+    environment_.SendUntilClear(seen, ReadKey{key}, patience, std::move(on_seen));
   }
   void Read() {
-    AskKey(AnyKey(), 1, [this](const Seen&) { After(0.005, 0.08, [this] { Read(); }); });
+    ReadOneKey(RandomKey(), 1, [this](const Seen&) { RunAfter(0.005, 0.08, [this] { Read(); }); });
   }
   void Write() {
-    const std::string key = AnyKey();
-    if (world_.Chance(0.3)) return Put(key, std::nullopt);
-    AskKey(key, 1, [=, this](const Seen& read) {
-      if (!World::Clear(read)) return After(0.01, 0.1, [this] { Write(); });
-      After(0, world_.Chance(0.2) ? 0.5 : 0.01, [=, this] { Put(key, read.revision); });
+    const std::string key = RandomKey();
+    if (environment_.Chance(0.3)) return Put(key, std::nullopt);
+    ReadOneKey(key, 1, [=, this](const Seen& read) {
+      if (!Environment::Clear(read)) return RunAfter(0.01, 0.1, [this] { Write(); });
+      RunAfter(0, environment_.Chance(0.2) ? 0.5 : 0.01, [=, this] { Put(key, read.revision); });
     });
   }
   void Put(const std::string& key, std::optional<std::uint64_t> enabled) {
@@ -168,8 +171,8 @@
     seen.name = key;
     seen.value = fmt::format("v{}", ++last_value_);
     seen.enabled = enabled;
-    world_.SendUntilClear(seen, PutKey{key, seen.value, enabled}, kResends,
-                          [this](const Seen&) { After(0.005, 0.1, [this] { Write(); }); });
+    environment_.SendUntilClear(seen, PutKey{key, seen.value, enabled}, kResendSeconds,
+                                [this](const Seen&) { RunAfter(0.005, 0.1, [this] { Write(); }); });
   }
 
   // ---- Watches
@@ -179,21 +182,23 @@
     seen.caller = caller;
     seen.name = group;
     seen.after = after;
-    const std::uint32_t wait_ms = after == 0 ? 0 : 100 + static_cast<std::uint32_t>(world_.Pick(1500));
-    world_.SendUntilClear(seen, WatchGroup{group, after, wait_ms}, 1, [=, this](const Seen& answered) {
+    const std::uint32_t wait_ms = after == 0 ? 0 : 100 + static_cast<std::uint32_t>(environment_.Pick(1500));
+    environment_.SendUntilClear(seen, WatchGroup{group, after, wait_ms}, 1, [=, this](const Seen& answered) {
       std::uint64_t next = after;
       if (answered.good()) next = answered.revision;
       if (answered.status == 410) next = 0;
-      if (next > 0 && (resume_[group] == 0 || world_.Chance(0.1))) resume_[group] = next;
-      After(0, world_.Chance(0.1) ? 1 : 0.01, [=, this] { Watch(caller, group, next); });
+      if (next > 0 && (resume_revisions_[group] == 0 || environment_.Chance(0.1)))
+        resume_revisions_[group] = next;
+      RunAfter(0, environment_.Chance(0.1) ? 1 : 0.01, [=, this] { Watch(caller, group, next); });
     });
   }
 
-  World& world_;
+  Environment& environment_;
   const ApplicationOptions options_;
   bool stopped_ = false;
   std::uint64_t last_value_ = 0;
-  std::map<std::string, std::uint64_t> resume_;  // revisions that watches are resumed from at the end
+  std::map<std::string, std::uint64_t>
+      resume_revisions_;  // revisions that watches are resumed from at the end
 };
 
 }  // namespace curlewdoor::coordination::testing
--- a/tests/coordination/history/world.hpp
+++ b/tests/coordination/history/simulation.hpp
@@ -22,17 +22,17 @@
 using Kind = Seen::Kind;
 
 // A gateway: with a member in its process (`home`), or without.
-class Gateway : public CoordinationCalls::Owner {
+class SimulatedGateway : public CoordinationCalls::Owner {
  public:
   using OnAnswer = CoordinationCalls::OnAnswer;
 
-  Gateway(Cluster& cluster, std::optional<std::size_t> home)
-      : cluster_(cluster), home_(home), links_(cluster.size()) {
+  SimulatedGateway(Cluster& cluster, std::optional<std::size_t> local_member)
+      : cluster_(cluster), local_member_(local_member), connections_(cluster.size()) {
     Start();
     Tick();
   }
 
-  std::optional<std::size_t> home() const { return home_; }
+  std::optional<std::size_t> local_member() const { return local_member_; }
   bool running() const { return calls_ != nullptr; }
   bool frozen() const { return frozen_; }
 
@@ -40,74 +40,74 @@
     if (calls_) return;
     ++process_;
     calls_ = std::make_unique<CoordinationCalls>(*this, CoordinationCalls::Options{});
-    for (Link& link : links_) link = {};
+    for (Connection& connection : connections_) connection = {};
   }
   void Kill() {
     ++process_;
     calls_.reset();
     frozen_ = false;
-    late_.clear();
-    late_calls_.clear();
-    for (Link& link : links_) link = {};
+    deferred_.clear();
+    deferred_calls_.clear();
+    for (Connection& connection : connections_) connection = {};
   }
   void Freeze() { frozen_ = calls_ != nullptr; }
   // What came meanwhile is handled in its order; calls whose callers have given up are refused.
   void Thaw() {
     frozen_ = false;
-    auto late = std::exchange(late_, {});
-    auto late_calls = std::exchange(late_calls_, {});
-    for (auto& answer : late_calls) answer({CoordinationCalls::End::kNothingDone, std::nullopt});
-    for (auto& act : late) act();
+    auto deferred = std::exchange(deferred_, {});
+    auto deferred_calls = std::exchange(deferred_calls_, {});
+    for (auto& answer : deferred_calls) answer({CoordinationCalls::End::kNothingDone, std::nullopt});
+    for (auto& action : deferred) action();
   }
 
   // The stream to this member breaks; what is under way on it is lost.
-  void Break(std::size_t member) {
-    Link& link = links_[member];
-    if (link.stream == 0) return;
-    const std::uint64_t stream = std::exchange(link.stream, 0);
-    link.held_there.clear();
-    link.held_back.clear();
-    link.up_at = cluster_.now() + Draw(milliseconds(20), milliseconds(200));
-    Act([this, stream] { calls_->OnStreamDown(cluster_.now(), stream); });
+  void BreakStream(std::size_t member) {
+    Connection& connection = connections_[member];
+    if (connection.stream == 0) return;
+    const std::uint64_t stream = std::exchange(connection.stream, 0);
+    connection.held_outbound.clear();
+    connection.held_inbound.clear();
+    connection.reconnect_at = cluster_.now() + Draw(milliseconds(20), milliseconds(200));
+    RunInProcess([this, stream] { calls_->OnStreamDown(cluster_.now(), stream); });
   }
   // Bytes of a stream wait while its way is cut.
-  void Cut(std::size_t member, bool there, bool back) {
-    links_[member].cut_there = there;
-    links_[member].cut_back = back;
-  }
-  void Heal() {
-    for (Link& link : links_) {
-      link.cut_there = link.cut_back = false;
-      for (auto& act : std::exchange(link.held_there, {})) act();
-      for (auto& act : std::exchange(link.held_back, {})) act();
+  void BlockStream(std::size_t member, bool outbound, bool inbound) {
+    connections_[member].outbound_blocked = outbound;
+    connections_[member].inbound_blocked = inbound;
+  }
+  void UnblockStreams() {
+    for (Connection& connection : connections_) {
+      connection.outbound_blocked = connection.inbound_blocked = false;
+      for (auto& action : std::exchange(connection.held_outbound, {})) action();
+      for (auto& action : std::exchange(connection.held_inbound, {})) action();
     }
   }
 
   void Call(const coordination::Call& call, OnAnswer answer) {
     if (frozen_) {
-      late_calls_.push_back(std::move(answer));
+      deferred_calls_.push_back(std::move(answer));
       return;
     }
     calls_->Begin(cluster_.now(), ++last_number_, call, std::move(answer));
   }
-  void TellLeader(std::uint64_t term, const std::string& name) {
-    Act([this, term, name] { calls_->OnLeader(cluster_.now(), term, name); });
+  void NotifyLeader(std::uint64_t term, const std::string& name) {
+    RunInProcess([this, term, name] { calls_->OnLeader(cluster_.now(), term, name); });
   }
 
   // ---- CoordinationCalls::Owner
   std::vector<CoordinationCalls::Candidate> ReachedMembers() override {
     std::vector<CoordinationCalls::Candidate> members;
-    for (std::size_t i = 0; i < links_.size(); ++i) {
+    for (std::size_t i = 0; i < connections_.size(); ++i) {
       const std::string name = cluster_.MemberAt(i).life.node;
-      if (home_ == i) {
+      if (local_member_ == i) {
         if (cluster_.running(i)) members.push_back({name, 0});
         continue;
       }
-      Link& link = links_[i];
-      const bool can =
-          cluster_.running(i) && !link.cut_there && !link.cut_back && cluster_.now() >= link.up_at;
-      if (link.stream == 0 && can) link.stream = ++last_stream_;
-      if (link.stream != 0) members.push_back({name, link.stream});
+      Connection& connection = connections_[i];
+      const bool can = cluster_.running(i) && !connection.outbound_blocked && !connection.inbound_blocked &&
+                       cluster_.now() >= connection.reconnect_at;
+      if (connection.stream == 0 && can) connection.stream = ++last_stream_;
+      if (connection.stream != 0) members.push_back({name, connection.stream});
     }
     return members;
   }
@@ -115,28 +115,29 @@
     const auto* sent = std::get_if<system::CoordinationCall>(&message);
     if (sent == nullptr) return;  // that nobody waits any more
     const std::size_t member = MemberOf(stream);
-    Through(member, stream, true, [this, member, stream, number = sent->number, bytes = sent->call] {
+    SendThrough(member, stream, true, [this, member, stream, number = sent->number, bytes = sent->call] {
       cluster_.Call(member, *DecodeCall(bytes), [this, member, stream, number](const Reply& reply) {
-        Through(member, stream, false, [this, stream, number, reply] {
-          Act([this, stream, number, reply] { calls_->OnReply(cluster_.now(), stream, number, reply); });
+        SendThrough(member, stream, false, [this, stream, number, reply] {
+          RunInProcess(
+              [this, stream, number, reply] { calls_->OnReply(cluster_.now(), stream, number, reply); });
         });
       });
     });
   }
   void CallHere(std::uint64_t number, const coordination::Call& call) override {
-    cluster_.Call(*home_, call, [this, number, process = process_](const Reply& reply) {
+    cluster_.Call(*local_member_, call, [this, number, process = process_](const Reply& reply) {
       if (process == process_ && calls_) calls_->OnReplyHere(cluster_.now(), number, reply);
     });
   }
   void ForgetHere(std::uint64_t) override {}
 
  private:
-  struct Link {
+  struct Connection {
     std::uint64_t stream = 0;  // 0: down
-    Time up_at{};
-    bool cut_there = false, cut_back = false;
-    std::vector<std::function<void()>> held_there, held_back;
-    Time there_at{}, back_at{};  // when what was sent last arrives: a stream keeps its order
+    Time reconnect_at{};
+    bool outbound_blocked = false, inbound_blocked = false;
+    std::vector<std::function<void()>> held_outbound, held_inbound;
+    Time outbound_arrival{}, inbound_arrival{};  // when what was sent last arrives: a stream keeps its order
   };
 
   Duration Draw(Duration least, Duration most) {
@@ -144,39 +145,41 @@
                        0, (most - least).count())(cluster_.random()));
   }
   std::size_t MemberOf(std::uint64_t stream) const {
-    for (std::size_t i = 0; i < links_.size(); ++i)
-      if (links_[i].stream == stream) return i;
+    for (std::size_t i = 0; i < connections_.size(); ++i)
+      if (connections_[i].stream == stream) return i;
     throw std::logic_error("no such stream");
   }
   // On this stream, after its way; held while the way is cut; never once it has broken.
-  void Through(std::size_t member, std::uint64_t stream, bool there, std::function<void()> act) {
-    Link& link = links_[member];
-    if (link.stream != stream) return;
-    Time& at = there ? link.there_at : link.back_at;
+  void SendThrough(std::size_t member, std::uint64_t stream, bool outbound, std::function<void()> action) {
+    Connection& connection = connections_[member];
+    if (connection.stream != stream) return;
+    Time& at = outbound ? connection.outbound_arrival : connection.inbound_arrival;
     at = std::max(at, cluster_.now() + Draw(microseconds(300), milliseconds(4)));
-    cluster_.At(at - cluster_.now(),
-                [this, member, stream, there, act = std::move(act)] { Arrive(member, stream, there, act); });
-  }
-  void Arrive(std::size_t member, std::uint64_t stream, bool there, const std::function<void()>& act) {
-    Link& link = links_[member];
-    if (link.stream != stream) return;
-    if (there ? link.cut_there : link.cut_back) {
-      (there ? link.held_there : link.held_back).push_back([this, member, stream, there, act] {
-        if (links_[member].stream == stream) Through(member, stream, there, act);
-      });
+    cluster_.At(at - cluster_.now(), [this, member, stream, outbound, action = std::move(action)] {
+      Deliver(member, stream, outbound, action);
+    });
+  }
+  void Deliver(std::size_t member, std::uint64_t stream, bool outbound, const std::function<void()>& action) {
+    Connection& connection = connections_[member];
+    if (connection.stream != stream) return;
+    if (outbound ? connection.outbound_blocked : connection.inbound_blocked) {
+      (outbound ? connection.held_outbound : connection.held_inbound)
+          .push_back([this, member, stream, outbound, action] {
+            if (connections_[member].stream == stream) SendThrough(member, stream, outbound, action);
+          });
       return;
     }
-    act();
+    action();
   }
-  void Act(std::function<void()> act) {
+  void RunInProcess(std::function<void()> action) {
     if (!calls_) return;
-    auto mine = [this, process = process_, act = std::move(act)] {
-      if (process == process_ && calls_) act();
+    auto guarded = [this, process = process_, action = std::move(action)] {
+      if (process == process_ && calls_) action();
     };
     if (frozen_) {
-      late_.push_back(std::move(mine));
+      deferred_.push_back(std::move(guarded));
     } else {
-      mine();
+      guarded();
     }
   }
   void Tick() {
@@ -185,49 +188,49 @@
   }
 
   Cluster& cluster_;
-  const std::optional<std::size_t> home_;
+  const std::optional<std::size_t> local_member_;
   std::unique_ptr<CoordinationCalls> calls_;
-  std::vector<Link> links_;
-  std::vector<std::function<void()>> late_;
-  std::vector<OnAnswer> late_calls_;
+  std::vector<Connection> connections_;
+  std::vector<std::function<void()>> deferred_;
+  std::vector<OnAnswer> deferred_calls_;
   bool frozen_ = false;
   std::uint64_t process_ = 0, last_stream_ = 0, last_number_ = 0;
 };
 
-struct WorldOptions {
+struct SimulationOptions {
   std::size_t members = 5, tolerance = 2;
   ClusterOptions cluster;
-  bool says_503_after_sending = false;  // a fault, for tests of the tests
+  bool returns_503_after_send = false;  // a fault, for tests of the tests
 };
 
-class World {
+class Simulation {
  public:
   using OnSeen = std::function<void(const Seen& seen)>;
   static constexpr int kGateways = 3;
 
-  World(const WorldOptions& options, std::uint64_t seed)
+  Simulation(const SimulationOptions& options, std::uint64_t seed)
       : options_(options),
         random_(seed * 7919 + 1),
         cluster(options.members, options.cluster, seed),
-        began_(cluster.now()) {
+        started_at_(cluster.now()) {
     for (std::size_t g = 0; g < kGateways; ++g)
       gateways.push_back(
-          std::make_unique<Gateway>(cluster, g + 1 < kGateways ? std::optional(g) : std::nullopt));
+          std::make_unique<SimulatedGateway>(cluster, g + 1 < kGateways ? std::optional(g) : std::nullopt));
     WatchLeader();
   }
 
-  double Seconds() const { return std::chrono::duration<double>(cluster.now() - began_).count(); }
+  double Seconds() const { return std::chrono::duration<double>(cluster.now() - started_at_).count(); }
   Duration Draw(double least_s, double most_s) {
     const double drawn = std::uniform_real_distribution<double>(least_s, most_s)(random_);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(drawn));
   }
   std::size_t Pick(std::size_t below) { return random_() % below; }
-  void At(Duration after, std::function<void()> act) { cluster.At(after, std::move(act)); }
+  void At(Duration after, std::function<void()> action) { cluster.At(after, std::move(action)); }
   bool Chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
 
   // ---- Troubles, of a member together with the gateway in its process
-  void Kill(std::size_t member) { Down(member, false); }
-  void Wipe(std::size_t member) { Down(member, true); }
+  void Kill(std::size_t member) { StopMember(member, false); }
+  void Wipe(std::size_t member) { StopMember(member, true); }
   void Start(std::size_t member) {
     cluster.Start(member);
     if (member + 1 < kGateways) gateways[member]->Start();
@@ -255,7 +258,7 @@
     };
     cluster.At(Draw(patience, patience), [seen, end] { end(seen); });
     cluster.At(Draw(0.0003, 0.003), [this, seen, call, end] {
-      Gateway& gateway = *gateways[Pick(gateways.size())];
+      SimulatedGateway& gateway = *gateways[Pick(gateways.size())];
       if (!gateway.running()) {
         cluster.At(milliseconds(1), [seen, end] { end(seen); });  // refused
         return;
@@ -290,50 +293,50 @@
   const std::vector<Seen>& seen() const { return history_; }
 
  private:
-  const WorldOptions options_;
+  const SimulationOptions options_;
   std::mt19937_64 random_;
 
  public:
   Cluster cluster;
-  std::vector<std::unique_ptr<Gateway>> gateways;
+  std::vector<std::unique_ptr<SimulatedGateway>> gateways;
 
  private:
-  void Down(std::size_t member, bool wiped) {
+  void StopMember(std::size_t member, bool wiped) {
     if (member + 1 < kGateways) gateways[member]->Kill();
     wiped ? cluster.Wipe(member) : cluster.Kill(member);
     for (auto& gateway : gateways)
-      if (gateway->running()) gateway->Break(member);
+      if (gateway->running()) gateway->BreakStream(member);
   }
 
   void SendUntil(const Seen& seen, const coordination::Call& call, double until, OnSeen on_seen) {
-    const double patience = std::max(0.01, std::min(1.0, until - Seconds())) + WaitOf(call);
+    const double patience = std::max(0.01, std::min(1.0, until - Seconds())) + WatchWait(call);
     Send(seen, call, patience, [=, this](const Seen& answered) {
-      if (Clear(answered) || Seconds() >= until || TakesRefusal(answered)) return on_seen(answered);
+      if (Clear(answered) || Seconds() >= until || AcceptsRefusal(answered)) return on_seen(answered);
       cluster.At(Draw(0.01, 0.06), [=, this] { SendUntil(seen, call, until, on_seen); });
     });
   }
   // Some callers take a 503 for what it promises, and go on to something else.
-  bool TakesRefusal(const Seen& answered) {
+  bool AcceptsRefusal(const Seen& answered) {
     const bool refused = answered.status == 503 || answered.status == 429;
     return refused && answered.kind == Kind::kPut && Chance(0.3);
   }
-  static double WaitOf(const coordination::Call& call) {
+  static double WatchWait(const coordination::Call& call) {
     const auto* watch = std::get_if<WatchGroup>(&call);
     return watch == nullptr ? 0 : watch->wait_ms / 1000.0;
   }
 
   void Fill(Seen& seen, const CoordinationCalls::Answer& answer) const {
     seen.status = system::EncodeAnswer(answer).status;
-    if (options_.says_503_after_sending && seen.status == 504) seen.status = 503;
+    if (options_.returns_503_after_send && seen.status == 504) seen.status = 503;
     if (!answer.reply) return;
-    if (const auto* read = std::get_if<KeyRead>(&*answer.reply)) {
+    if (const auto* read = std::get_if<ReadResult>(&*answer.reply)) {
       seen.value = read->value;
       seen.revision = read->revision;
-    } else if (const auto* watched = std::get_if<Watched>(&*answer.reply)) {
+    } else if (const auto* watched = std::get_if<WatchResult>(&*answer.reply)) {
       seen.revision = watched->revision;
-      for (const Event& event : watched->events)
+      for (const PutEvent& event : watched->events)
         seen.events.push_back({event.key, event.value, event.revision});
-    } else if (const auto* result = std::get_if<Result>(&*answer.reply)) {
+    } else if (const auto* result = std::get_if<CommandResult>(&*answer.reply)) {
       if (const auto* granted = std::get_if<LockGranted>(result)) seen.fence = granted->fence;
       if (const auto* number = std::get_if<NumberTaken>(result)) seen.number = number->value;
       if (const auto* put = std::get_if<KeyPut>(result)) seen.revision = put->revision;
@@ -344,17 +347,17 @@
   // A member that begins to lead says so to all that reach it.
   void WatchLeader() {
     const auto leader = cluster.Leader();
-    if (leader && leader != told_) {
+    if (leader && leader != announced_leader_) {
       const auto& replica = cluster.coordinator(*leader)->replica();
-      for (auto& gateway : gateways) gateway->TellLeader(replica.term(), replica.self().life.node);
+      for (auto& gateway : gateways) gateway->NotifyLeader(replica.term(), replica.self().life.node);
     }
-    told_ = leader;
+    announced_leader_ = leader;
     cluster.At(milliseconds(10), [this] { WatchLeader(); });
   }
 
-  const Time began_;
+  const Time started_at_;
   std::vector<Seen> history_;
-  std::optional<std::size_t> told_;
+  std::optional<std::size_t> announced_leader_;
 };
 
 }  // namespace curlewdoor::coordination::testing
--- a/tests/coordination/history_search_test.cpp
+++ b/tests/coordination/history_search_test.cpp
@@ -7,281 +7,291 @@
 #include <cstdlib>
 
 #include "history/applications.hpp"
-#include "history/world.hpp"
+#include "history/simulation.hpp"
 
 namespace curlewdoor::coordination::testing {
 namespace {
 
-constexpr double kPlays = 12, kPlaysShort = 1.9, kClosingPatience = 10, kHistory = 6;  // seconds
+constexpr double kFaultSeconds = 12, kShortFaultSeconds = 1.9, kFinalReadSeconds = 10,
+                 kHistorySeconds = 6;  // seconds
 
-struct Mix {
+struct FaultMix {
   const char* name;
   std::size_t members = 5, tolerance = 2;
   // Weights of the troubles.
-  unsigned kill = 0, wipe = 0, freeze = 0, gateway = 0, cut = 0, one_way = 0, stall = 0, reset = 0,
-           roster = 0, blackout = 0;
-  bool closing_fault = false;
-  double lost = 0;
+  unsigned kill = 0, wipe = 0, freeze = 0, gateway = 0, isolation = 0, one_way_cut = 0, disk_stall = 0,
+           stream_reset = 0, membership_change = 0, blackout = 0;
+  bool final_power_loss = false;
+  double loss_rate = 0;
 };
-constexpr Mix kMixes[] = {{.name = "calm"},
-                          {.name = "three",
-                           .members = 3,
-                           .tolerance = 1,
-                           .kill = 2,
-                           .freeze = 2,
-                           .gateway = 1,
-                           .cut = 1,
-                           .reset = 1},
-                          {.name = "kills", .kill = 3, .reset = 1, .closing_fault = true},
-                          {.name = "wipes", .members = 6, .kill = 1, .wipe = 2, .closing_fault = true},
-                          {.name = "freezes", .members = 6, .freeze = 3, .gateway = 2, .reset = 1},
-                          {.name = "cuts", .cut = 2, .one_way = 3, .reset = 1, .lost = 0.02},
-                          {.name = "stalls", .members = 8, .kill = 1, .stall = 3, .closing_fault = true},
-                          {.name = "rosters",
-                           .members = 6,
-                           .kill = 1,
-                           .freeze = 1,
-                           .one_way = 1,
-                           .roster = 3,
-                           .closing_fault = true},
-                          {.name = "blackouts", .stall = 2, .blackout = 2, .closing_fault = true},
-                          {.name = "all",
-                           .members = 6,
-                           .kill = 2,
-                           .wipe = 1,
-                           .freeze = 2,
-                           .gateway = 1,
-                           .cut = 1,
-                           .one_way = 2,
-                           .stall = 1,
-                           .reset = 1,
-                           .roster = 1,
-                           .closing_fault = true,
-                           .lost = 0.01}};
+constexpr FaultMix kFaultMixes[] = {
+    {.name = "calm"},
+    {.name = "three",
+     .members = 3,
+     .tolerance = 1,
+     .kill = 2,
+     .freeze = 2,
+     .gateway = 1,
+     .isolation = 1,
+     .stream_reset = 1},
+    {.name = "kills", .kill = 3, .stream_reset = 1, .final_power_loss = true},
+    {.name = "wipes", .members = 6, .kill = 1, .wipe = 2, .final_power_loss = true},
+    {.name = "freezes", .members = 6, .freeze = 3, .gateway = 2, .stream_reset = 1},
+    {.name = "cuts", .isolation = 2, .one_way_cut = 3, .stream_reset = 1, .loss_rate = 0.02},
+    {.name = "stalls", .members = 8, .kill = 1, .disk_stall = 3, .final_power_loss = true},
+    {.name = "rosters",
+     .members = 6,
+     .kill = 1,
+     .freeze = 1,
+     .one_way_cut = 1,
+     .membership_change = 3,
+     .final_power_loss = true},
+    {.name = "blackouts", .disk_stall = 2, .blackout = 2, .final_power_loss = true},
+    {.name = "all",
+     .members = 6,
+     .kill = 2,
+     .wipe = 1,
+     .freeze = 2,
+     .gateway = 1,
+     .isolation = 1,
+     .one_way_cut = 2,
+     .disk_stall = 1,
+     .stream_reset = 1,
+     .membership_change = 1,
+     .final_power_loss = true,
+     .loss_rate = 0.01}};
 
-class Play {
+class HistoryRun {
  public:
-  Play(const Mix& mix, const WorldOptions& options, std::uint64_t seed)
-      : mix_(mix), world_(options, seed), applications_(world_, {}), members_(mix.members) {
-    for (std::size_t i = 0; i < members_; ++i) roster_.insert(i);
+  HistoryRun(const FaultMix& mix, const SimulationOptions& options, std::uint64_t seed)
+      : mix_(mix), simulation_(options, seed), applications_(simulation_, {}), members_(mix.members) {
+    for (std::size_t i = 0; i < members_; ++i) membership_.insert(i);
   }
 
-  CoordinationHistory Run(double plays = kPlays) {
-    world_.cluster.Run(milliseconds(1500));
-    while (world_.Seconds() < plays) {
-      Trouble();
-      world_.cluster.Run(world_.Draw(0.05, 0.9));
+  CoordinationHistory Run(double fault_seconds = kFaultSeconds) {
+    simulation_.cluster.Run(milliseconds(1500));
+    while (simulation_.Seconds() < fault_seconds) {
+      InjectFault();
+      simulation_.cluster.Run(simulation_.Draw(0.05, 0.9));
     }
-    if (plays < kPlays) return world_.History();
-    EndTroubles();
+    if (fault_seconds < kFaultSeconds) return simulation_.History();
+    EndFaults();
     applications_.Stop();
-    if (mix_.closing_fault) CloseWithFault();
-    const double closing = world_.Seconds();
-    applications_.AskAll(kClosingPatience);
-    world_.cluster.Run(world_.Draw(kClosingPatience + 1, kClosingPatience + 1));
-    auto history = world_.History();
+    if (mix_.final_power_loss) FinalPowerLoss();
+    const double closing = simulation_.Seconds();
+    applications_.ProbeAllObjects(kFinalReadSeconds);
+    simulation_.cluster.Run(simulation_.Draw(kFinalReadSeconds + 1, kFinalReadSeconds + 1));
+    auto history = simulation_.History();
     history.SetClosing(closing);
-    history.SetHistory(kHistory);
+    history.SetHistory(kHistorySeconds);
     return history;
   }
 
  private:
-  using Trouble_ = void (Play::*)();
+  using FaultAction = void (HistoryRun::*)();
 
-  void Trouble() {
-    const std::pair<unsigned, Trouble_> troubles[] = {
-        {mix_.kill, &Play::Kill},           {mix_.wipe, &Play::Wipe},
-        {mix_.freeze, &Play::Freeze},       {mix_.gateway, &Play::PauseGateway},
-        {mix_.cut, &Play::CutOff},          {mix_.one_way, &Play::CutOneWay},
-        {mix_.stall, &Play::Stall},         {mix_.reset, &Play::Reset},
-        {mix_.roster, &Play::ChangeRoster}, {mix_.blackout, &Play::Blackout}};
+  void InjectFault() {
+    const std::pair<unsigned, FaultAction> faults[] = {
+        {mix_.kill, &HistoryRun::Kill},
+        {mix_.wipe, &HistoryRun::Wipe},
+        {mix_.freeze, &HistoryRun::Freeze},
+        {mix_.gateway, &HistoryRun::PauseGateway},
+        {mix_.isolation, &HistoryRun::IsolateMember},
+        {mix_.one_way_cut, &HistoryRun::IsolateOneWay},
+        {mix_.disk_stall, &HistoryRun::StallRandomDisk},
+        {mix_.stream_reset, &HistoryRun::ResetStream},
+        {mix_.membership_change, &HistoryRun::ChangeMembership},
+        {mix_.blackout, &HistoryRun::Blackout}};
     unsigned sum = 0;
-    for (const auto& [weight, act] : troubles) sum += weight;
+    for (const auto& [weight, action] : faults) sum += weight;
     if (sum == 0) return;
-    std::size_t drawn = world_.Pick(sum);
-    for (const auto& [weight, act] : troubles) {
-      if (drawn < weight) return (this->*act)();
+    std::size_t drawn = simulation_.Pick(sum);
+    for (const auto& [weight, action] : faults) {
+      if (drawn < weight) return (this->*action)();
       drawn -= weight;
     }
   }
-  std::size_t Any() {
-    if (const auto leader = world_.cluster.Leader(); leader && world_.Chance(0.5)) return *leader;
-    return world_.Pick(members_);
+  std::size_t RandomMember() {
+    if (const auto leader = simulation_.cluster.Leader(); leader && simulation_.Chance(0.5)) return *leader;
+    return simulation_.Pick(members_);
   }
-  void Later(double least_s, double most_s, std::function<void()> act) {
-    world_.cluster.At(world_.Draw(least_s, most_s), std::move(act));
+  void RunLater(double min_s, double max_s, std::function<void()> action) {
+    simulation_.cluster.At(simulation_.Draw(min_s, max_s), std::move(action));
   }
 
   void Kill() {
-    const std::size_t member = Any();
+    const std::size_t member = RandomMember();
     frozen_.erase(member);
-    world_.Kill(member);
-    Later(0.05, 2, [this, member] { world_.Start(member); });
-    if (world_.Chance(0.1)) Blackout();
+    simulation_.Kill(member);
+    RunLater(0.05, 2, [this, member] { simulation_.Start(member); });
+    if (simulation_.Chance(0.1)) Blackout();
   }
   void Blackout() {
     for (std::size_t i = 0; i < members_; ++i) {
       frozen_.erase(i);
-      world_.Kill(i);
-      Later(0.05, 0.3, [this, i] { world_.Start(i); });
+      simulation_.Kill(i);
+      RunLater(0.05, 0.3, [this, i] { simulation_.Start(i); });
     }
   }
   // As many as are to be borne at once, and none until the log has replaced those before.
   void Wipe() {
-    if (world_.Seconds() > kPlays - 4 || !Replaced()) return;
-    if (world_.Chance(0.5) && members_ == 6) return WipeBesideLaggards();
-    const std::size_t count = 1 + world_.Pick(mix_.tolerance);
+    if (simulation_.Seconds() > kFaultSeconds - 4 || !WipedMembersReplaced()) return;
+    if (simulation_.Chance(0.5) && members_ == 6) return WipeBesideLaggards();
+    const std::size_t count = 1 + simulation_.Pick(mix_.tolerance);
     for (std::size_t i = 0; i < count; ++i) {
-      const std::size_t member = Any();
+      const std::size_t member = RandomMember();
       if (wiped_.contains(member)) continue;
       frozen_.erase(member);
-      world_.Wipe(member);
+      simulation_.Wipe(member);
       wiped_.insert(member);
     }
-    Later(0.1, 1, [this] {
-      for (const std::size_t member : wiped_) world_.Start(member);
+    RunLater(0.1, 1, [this] {
+      for (const std::size_t member : wiped_) simulation_.Start(member);
       wiped_.clear();
-      TellRoster();
+      ApplyMembership();
     });
   }
   // Of six: two lag, then two others lose their disks and the two that are left are away for a while. The
   // wiped ones and the laggards are as many as a majority, and none of them has the newest entries.
   void WipeBesideLaggards() {
-    const std::size_t first = Any();
+    const std::size_t first = RandomMember();
     const auto at = [this, first](std::size_t i) { return (first + i) % members_; };
     if (!frozen_.empty()) return;
     for (const std::size_t i : {4, 5}) {
       frozen_.insert(at(i));
-      world_.Freeze(at(i));
+      simulation_.Freeze(at(i));
     }
     for (const std::size_t i : {0, 1}) wiped_.insert(at(i));
-    Later(0.3, 0.8, [this, at] {
-      for (const std::size_t i : {0, 1}) world_.Wipe(at(i));
-      for (const std::size_t i : {2, 3}) world_.Kill(at(i));
-      for (const std::size_t i : {0, 1}) world_.Start(at(i));
+    RunLater(0.3, 0.8, [this, at] {
+      for (const std::size_t i : {0, 1}) simulation_.Wipe(at(i));
+      for (const std::size_t i : {2, 3}) simulation_.Kill(at(i));
+      for (const std::size_t i : {0, 1}) simulation_.Start(at(i));
       for (const std::size_t i : {4, 5}) Thaw(at(i));
     });
-    Later(2, 3, [this, at] {
-      for (const std::size_t i : {2, 3}) world_.Start(at(i));
+    RunLater(2, 3, [this, at] {
+      for (const std::size_t i : {2, 3}) simulation_.Start(at(i));
       wiped_.clear();
-      TellRoster();
+      ApplyMembership();
     });
   }
-  bool Replaced() {
-    const auto leader = world_.cluster.Leader();
+  bool WipedMembersReplaced() {
+    const auto leader = simulation_.cluster.Leader();
     if (!wiped_.empty() || !leader) return false;
-    const auto& voters = world_.cluster.coordinator(*leader)->replica().voters();
+    const auto& voters = simulation_.cluster.coordinator(*leader)->replica().voters();
     std::set<agreement::Life> lives;
     for (const Member& voter : voters) lives.insert(voter.life);
-    bool all = voters.size() == roster_.size();
-    for (const std::size_t i : roster_) all = all && lives.contains(world_.cluster.MemberAt(i).life);
+    bool all = voters.size() == membership_.size();
+    for (const std::size_t i : membership_) all = all && lives.contains(simulation_.cluster.MemberAt(i).life);
     return all;
   }
-  void TellRoster() { world_.cluster.SetRoster({roster_.begin(), roster_.end()}); }
-  void ChangeRoster() {
-    const std::size_t member = world_.Pick(members_);
-    if (roster_.contains(member) && roster_.size() + 1 > mix_.members) {
-      roster_.erase(member);
+  void ApplyMembership() { simulation_.cluster.SetMembership({membership_.begin(), membership_.end()}); }
+  void ChangeMembership() {
+    const std::size_t member = simulation_.Pick(members_);
+    if (membership_.contains(member) && membership_.size() + 1 > mix_.members) {
+      membership_.erase(member);
     } else {
-      roster_.insert(member);
+      membership_.insert(member);
     }
-    TellRoster();
+    ApplyMembership();
   }
   void Freeze() {
-    const std::size_t member = Any();
-    if (!frozen_.insert(member).second || !world_.cluster.running(member)) return;
-    world_.Freeze(member);
-    Later(0.1, 2, [this, member] { Thaw(member); });
+    const std::size_t member = RandomMember();
+    if (!frozen_.insert(member).second || !simulation_.cluster.running(member)) return;
+    simulation_.Freeze(member);
+    RunLater(0.1, 2, [this, member] { Thaw(member); });
   }
   void Thaw(std::size_t member) {
-    if (frozen_.erase(member) > 0) world_.Thaw(member);
+    if (frozen_.erase(member) > 0) simulation_.Thaw(member);
   }
   void PauseGateway() {
-    Gateway& gateway = *world_.gateways.back();
+    SimulatedGateway& gateway = *simulation_.gateways.back();
     if (gateway.frozen()) return;
-    if (world_.Chance(0.5)) {
+    if (simulation_.Chance(0.5)) {
       gateway.Kill();
-      return Later(0.05, 1, [&gateway] { gateway.Start(); });
+      return RunLater(0.05, 1, [&gateway] { gateway.Start(); });
     }
     gateway.Freeze();
-    Later(0.1, 2, [&gateway] { gateway.Thaw(); });
+    RunLater(0.1, 2, [&gateway] { gateway.Thaw(); });
   }
-  void CutOff() { CutWays(true, true); }
-  void CutOneWay() { CutWays(world_.Chance(0.5), false); }
+  void IsolateMember() { BlockPaths(true, true); }
+  void IsolateOneWay() { BlockPaths(simulation_.Chance(0.5), false); }
   // One member from some or all others, one way (`there`: what it sends) or both.
-  void CutWays(bool there, bool both) {
-    const std::size_t member = Any();
-    const double share = world_.Chance(0.5) ? 1 : 0.5;
+  void BlockPaths(bool outbound, bool both_ways) {
+    const std::size_t member = RandomMember();
+    const double share = simulation_.Chance(0.5) ? 1 : 0.5;
     for (std::size_t other = 0; other < members_; ++other) {
-      if (other == member || !world_.Chance(share)) continue;
-      if (there || both) world_.cluster.Cut(member, other);
-      if (!there || both) world_.cluster.Cut(other, member);
+      if (other == member || !simulation_.Chance(share)) continue;
+      if (outbound || both_ways) simulation_.cluster.BlockPath(member, other);
+      if (!outbound || both_ways) simulation_.cluster.BlockPath(other, member);
     }
-    for (auto& gateway : world_.gateways)
-      if (gateway->home() != member && world_.Chance(0.7))
-        gateway->Cut(member, !there || both, there || both);
-    Later(0.2, 2.5, [this] { HealWays(); });
+    for (auto& gateway : simulation_.gateways)
+      if (gateway->local_member() != member && simulation_.Chance(0.7))
+        gateway->BlockStream(member, !outbound || both_ways, outbound || both_ways);
+    RunLater(0.2, 2.5, [this] { UnblockPaths(); });
   }
-  void HealWays() {
-    world_.cluster.HealAll();
-    for (auto& gateway : world_.gateways) gateway->Heal();
+  void UnblockPaths() {
+    simulation_.cluster.UnblockAllPaths();
+    for (auto& gateway : simulation_.gateways) gateway->UnblockStreams();
+  }
+  void StallRandomDisk() { simulation_.cluster.StallDisk(RandomMember(), simulation_.Draw(0.1, 3)); }
+  void ResetStream() {
+    simulation_.gateways[simulation_.Pick(simulation_.gateways.size())]->BreakStream(RandomMember());
   }
-  void Stall() { world_.cluster.StallDisk(Any(), world_.Draw(0.1, 3)); }
-  void Reset() { world_.gateways[world_.Pick(world_.gateways.size())]->Break(Any()); }
 
-  void EndTroubles() {
-    world_.cluster.Run(milliseconds(2600));  // those that end by themselves
-    HealWays();
+  void EndFaults() {
+    simulation_.cluster.Run(milliseconds(2600));  // those that end by themselves
+    UnblockPaths();
     for (const std::size_t member : std::set<std::size_t>(frozen_)) Thaw(member);
-    world_.cluster.Run(milliseconds(3000));
+    simulation_.cluster.Run(milliseconds(3000));
   }
   // All are killed, and as many as are to be borne come back empty.
-  void CloseWithFault() {
-    const bool wipes = Replaced();
-    for (std::size_t i = 0; i < members_; ++i) wipes&& i < mix_.tolerance ? world_.Wipe(i) : world_.Kill(i);
-    for (std::size_t i = 0; i < members_; ++i) world_.Start(i);
-    TellRoster();
+  void FinalPowerLoss() {
+    const bool wipes = WipedMembersReplaced();
+    for (std::size_t i = 0; i < members_; ++i)
+      wipes&& i < mix_.tolerance ? simulation_.Wipe(i) : simulation_.Kill(i);
+    for (std::size_t i = 0; i < members_; ++i) simulation_.Start(i);
+    ApplyMembership();
   }
 
-  const Mix mix_;
-  World world_;
-  Applications<World> applications_;
+  const FaultMix mix_;
+  Simulation simulation_;
+  Applications<Simulation> applications_;
   const std::size_t members_;
-  std::set<std::size_t> roster_, wiped_, frozen_;
+  std::set<std::size_t> membership_, wiped_, frozen_;
 };
 
-WorldOptions OptionsOf(const Mix& mix) {
-  WorldOptions options;
+SimulationOptions OptionsOf(const FaultMix& mix) {
+  SimulationOptions options;
   options.members = mix.members;
   options.tolerance = mix.tolerance;
-  options.cluster.lost = mix.lost;
-  options.cluster.coordinator.limits.history = milliseconds(static_cast<int>(kHistory * 2000));
-  options.cluster.coordinator.compact_after = 64;
+  options.cluster.loss_rate = mix.loss_rate;
+  options.cluster.coordinator.limits.history = milliseconds(static_cast<int>(kHistorySeconds * 2000));
+  options.cluster.coordinator.compact_after_entries = 64;
   return options;
 }
 
 std::string Violations(const CoordinationHistory& history) {
   std::string text;
-  std::size_t told = 0;
+  std::size_t reported = 0;
   for (const auto& each : history.Judge())
-    if (++told <= 5) text += std::string("\n") + systemkit::NameOf(each.rule) + ": " + each.text;
+    if (++reported <= 5) text += std::string("\n") + systemkit::NameOf(each.rule) + ": " + each.text;
   return text;
 }
 
-std::uint64_t Setting(const char* name, std::uint64_t usual) {
-  const char* told = std::getenv(name);
-  return told != nullptr ? std::strtoull(told, nullptr, 10) : usual;
+std::uint64_t EnvironmentNumber(const char* name, std::uint64_t default_value) {
+  const char* setting = std::getenv(name);
+  return setting != nullptr ? std::strtoull(setting, nullptr, 10) : default_value;
 }
 
 BOOST_AUTO_TEST_CASE(no_rule_is_broken_under_any_mix_of_troubles) {
   const char* only = std::getenv("CURLEWDOOR_HISTORY_MIX");
-  const std::uint64_t first = Setting("CURLEWDOOR_HISTORY_FIRST", 1),
-                      seeds = Setting("CURLEWDOOR_HISTORY_SEEDS", 4);
-  for (const Mix& mix : kMixes) {
+  const std::uint64_t first = EnvironmentNumber("CURLEWDOOR_HISTORY_FIRST", 1),
+                      seeds = EnvironmentNumber("CURLEWDOOR_HISTORY_SEEDS", 4);
+  for (const FaultMix& mix : kFaultMixes) {
     if (only != nullptr && std::string(only) != mix.name) continue;
     std::size_t calls = 0, good = 0;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-      const auto history = Play(mix, OptionsOf(mix), seed).Run();
+      const auto history = HistoryRun(mix, OptionsOf(mix), seed).Run();
       const std::string found = Violations(history);
       BOOST_TEST(found.empty(), "mix " << mix.name << " seed " << seed << found);
       calls += history.calls().size();
@@ -295,9 +305,9 @@
 
 BOOST_AUTO_TEST_CASE(short_histories_have_an_order_that_explains_them) {
   std::size_t searched = 0, too_long = 0;
-  for (const Mix& mix : kMixes) {
-    for (std::uint64_t seed = 1; seed <= Setting("CURLEWDOOR_HISTORY_SHORT", 20); ++seed) {
-      const auto history = Play(mix, OptionsOf(mix), seed).Run(kPlaysShort);
+  for (const FaultMix& mix : kFaultMixes) {
+    for (std::uint64_t seed = 1; seed <= EnvironmentNumber("CURLEWDOOR_HISTORY_SHORT", 20); ++seed) {
+      const auto history = HistoryRun(mix, OptionsOf(mix), seed).Run(kShortFaultSeconds);
       std::set<std::string> names;
       for (const Seen& seen : history.calls())
         if (seen.kind != Kind::kWatch) names.insert(seen.name);
@@ -316,16 +326,16 @@
 // ---- The search finds what is wrong ----
 
 // Seeds of these mixes until a rule is broken; 0: none was.
-std::uint64_t SeedThatFinds(const std::function<void(WorldOptions&)>& fault, std::vector<const char*> names,
-                            std::uint64_t most = 60) {
+std::uint64_t SeedThatFinds(const std::function<void(SimulationOptions&)>& fault,
+                            std::vector<const char*> names, std::uint64_t most = 60) {
   for (std::uint64_t seed = 1; seed <= most; ++seed) {
-    for (const Mix& mix : kMixes) {
+    for (const FaultMix& mix : kFaultMixes) {
       const bool named = std::any_of(names.begin(), names.end(),
                                      [&](const char* name) { return std::string(name) == mix.name; });
       if (!named) continue;
-      WorldOptions options = OptionsOf(mix);
+      SimulationOptions options = OptionsOf(mix);
       fault(options);
-      const std::string found = Violations(Play(mix, options, seed).Run());
+      const std::string found = Violations(HistoryRun(mix, options, seed).Run());
       if (found.empty()) continue;
       BOOST_TEST_MESSAGE("mix " << mix.name << " seed " << seed << found);
       return seed;
@@ -334,32 +344,32 @@
   return 0;
 }
 std::uint64_t Finds(ReplicaOptions::Fault fault, std::vector<const char*> names) {
-  return SeedThatFinds([fault](WorldOptions& options) { options.cluster.coordinator.replica.fault = fault; },
-                       names);
+  return SeedThatFinds(
+      [fault](SimulationOptions& options) { options.cluster.coordinator.replica.fault = fault; }, names);
 }
-std::uint64_t Finds(Limits::Fault fault, std::vector<const char*> names) {
-  return SeedThatFinds([fault](WorldOptions& options) { options.cluster.coordinator.limits.fault = fault; },
-                       names);
+std::uint64_t Finds(StateMachineLimits::Fault fault, std::vector<const char*> names) {
+  return SeedThatFinds(
+      [fault](SimulationOptions& options) { options.cluster.coordinator.limits.fault = fault; }, names);
 }
 
 BOOST_AUTO_TEST_CASE(finds_a_503_after_sending) {
-  BOOST_TEST(SeedThatFinds([](WorldOptions& options) { options.says_503_after_sending = true; },
+  BOOST_TEST(SeedThatFinds([](SimulationOptions& options) { options.returns_503_after_send = true; },
                            {"kills", "cuts"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_a_resend_applied_twice) {
-  BOOST_TEST(Finds(Limits::Fault::kResendAppliedTwice, {"kills", "cuts"}) > 0U);
+  BOOST_TEST(Finds(StateMachineLimits::Fault::kResendAppliedTwice, {"kills", "cuts"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_a_fence_used_again) {
-  BOOST_TEST(Finds(Limits::Fault::kFenceReused, {"calm"}) > 0U);
+  BOOST_TEST(Finds(StateMachineLimits::Fault::kFenceReused, {"calm"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_a_renewed_hold_that_ends) {
-  BOOST_TEST(Finds(Limits::Fault::kExpireRenewed, {"stalls", "cuts", "freezes"}) > 0U);
+  BOOST_TEST(Finds(StateMachineLimits::Fault::kExpireRenewed, {"stalls", "cuts", "freezes"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_a_history_that_a_snapshot_lacks) {
-  BOOST_TEST(Finds(Limits::Fault::kHistoryNotInSnapshot, {"kills"}) > 0U);
+  BOOST_TEST(Finds(StateMachineLimits::Fault::kHistoryNotInSnapshot, {"kills"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_a_fence_that_a_snapshot_lacks) {
-  BOOST_TEST(Finds(Limits::Fault::kFenceNotInSnapshot, {"kills"}) > 0U);
+  BOOST_TEST(Finds(StateMachineLimits::Fault::kFenceNotInSnapshot, {"kills"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_an_acknowledgement_before_the_sync) {
   BOOST_TEST(Finds(ReplicaOptions::Fault::kAckBeforeSync, {"blackouts"}) > 0U);
@@ -369,7 +379,7 @@
                    {"cuts", "freezes", "all", "three", "blackouts"}) > 0U);
 }
 BOOST_AUTO_TEST_CASE(finds_a_vote_for_a_shorter_log) {
-  BOOST_TEST(Finds(ReplicaOptions::Fault::kVoteForShorterLog, {"kills", "cuts"}) > 0U);
+  BOOST_TEST(Finds(ReplicaOptions::Fault::kVoteForOutdatedLog, {"kills", "cuts"}) > 0U);
 }
 }  // namespace
 }  // namespace curlewdoor::coordination::testing
--- a/tests/coordination/leave_test.cpp
+++ b/tests/coordination/leave_test.cpp
@@ -14,8 +14,8 @@
   Cluster cluster(6, {}, 2);
   cluster.Run(3s);
   const std::size_t leader = *cluster.Leader();
-  cluster.Leave(leader);
-  cluster.Leave(leader == 0 ? 1 : 0);
+  cluster.BeginShutdown(leader);
+  cluster.BeginShutdown(leader == 0 ? 1 : 0);
   const std::uint64_t term = cluster.coordinator(5)->replica().term();
   cluster.Run(500ms);
   int served = 0;
@@ -23,7 +23,7 @@
     for (std::size_t i = 0; i < cluster.size(); ++i) {
       if (cluster.Leader() != i) continue;
       cluster.Call(i, TakeNumber{"n"}, [&](const Reply& reply) {
-        const auto* result = std::get_if<Result>(&reply);
+        const auto* result = std::get_if<CommandResult>(&reply);
         served += result != nullptr && std::holds_alternative<NumberTaken>(*result);
       });
     }
--- a/tests/coordination/replica_records_test.cpp
+++ b/tests/coordination/replica_records_test.cpp
@@ -15,21 +15,21 @@
 
 constexpr std::uint64_t kDisk = 1;
 
-std::vector<Member> Three() {
+std::vector<Member> ThreeMembers() {
   std::vector<Member> members;
   for (std::uint64_t i = 1; i <= 3; ++i)
     members.push_back({{"core-" + std::to_string(i), i}, "10.0.0.1:7001"});
   return members;
 }
 
-std::optional<ReplicaState> Read(const Disk& disk, std::uint64_t number = kDisk) {
+std::optional<ReplicaState> ReadState(const Disk& disk, std::uint64_t number = kDisk) {
   return DecodeReplicaState(number, [&](const std::string& key) {
     const auto found = disk.find(key);
     return found == disk.end() ? std::nullopt : std::optional(found->second);
   });
 }
 
-void Keep(Disk& disk, const Records& records) {
+void WriteRecords(Disk& disk, const RecordBatch& records) {
   for (const auto& [key, bytes] : records) disk[key] = bytes;
 }
 
@@ -66,39 +66,40 @@
   std::uint64_t Below(std::uint64_t bound) { return random_() % bound; }
 
   void Start() {
-    auto held = Read(disk_);
-    BOOST_REQUIRE(held);
-    BOOST_TEST(held->term >= promised_term_);
-    const std::uint64_t last = held->snapshot_index + held->entries.size();
+    auto restored = ReadState(disk_);
+    BOOST_REQUIRE(restored);
+    BOOST_TEST(restored->term >= promised_term_);
+    const std::uint64_t last = restored->snapshot_index + restored->entries.size();
     BOOST_TEST(last >= acknowledged_);
-    for (std::uint64_t index = held->snapshot_index + 1; index <= acknowledged_; ++index)
-      BOOST_TEST((held->entries[index - held->snapshot_index - 1] == log_[index - 1]));
-    replica_ = std::make_unique<Replica>(Three()[0], std::move(*held), ReplicaOptions{}, random_());
-    ReplicaOut out;
-    replica_->Found(now_, Three(), out);
+    for (std::uint64_t index = restored->snapshot_index + 1; index <= acknowledged_; ++index)
+      BOOST_TEST((restored->entries[index - restored->snapshot_index - 1] == log_[index - 1]));
+    replica_ =
+        std::make_unique<Replica>(ThreeMembers()[0], std::move(*restored), ReplicaOptions{}, random_());
+    ReplicaOutput out;
+    replica_->Bootstrap(now_, ThreeMembers(), out);
     replica_->Tick(now_, out);
-    Take(out);
+    HandleOutput(out);
   }
   void LosePower() {
-    if (write_ && Below(2)) Keep(disk_, *write_);
+    if (write_ && Below(2)) WriteRecords(disk_, *write_);
     write_.reset();
     Start();
   }
   void EndWrite(bool ok) {
     if (!write_) return;
-    if (ok) Keep(disk_, *write_);
+    if (ok) WriteRecords(disk_, *write_);
     write_.reset();
-    ReplicaOut out;
+    ReplicaOutput out;
     replica_->OnWritten(now_, ok, out);
-    Take(out);
+    HandleOutput(out);
   }
-  void Hear(ReplicaBody body) {
+  void Receive(ReplicaBody body) {
     now_ += milliseconds(10);
-    ReplicaOut out;
-    const Member leader = Three()[1 + term_ % 2];
-    replica_->OnMessage(now_, {leader, Three()[0].life, term_, std::move(body)}, out);
+    ReplicaOutput out;
+    const Member leader = ThreeMembers()[1 + term_ % 2];
+    replica_->OnMessage(now_, {leader, ThreeMembers()[0].life, term_, std::move(body)}, out);
     replica_->Tick(now_, out);
-    Take(out);
+    HandleOutput(out);
   }
   void Append() {
     for (std::uint64_t i = Below(4); i > 0; --i) log_.push_back({term_, milliseconds(1), "c", {}});
@@ -109,20 +110,21 @@
     append.entries.assign(log_.begin() + static_cast<std::ptrdiff_t>(from), log_.end());
     // Committed by the two others.
     if (Below(2)) committed_ = std::max(committed_, acknowledged_ + Below(log_.size() - acknowledged_ + 1));
-    Hear(std::move(append));
+    Receive(std::move(append));
   }
   void Snapshot() {
     if (committed_ == 0) return;
-    Hear(InstallSnapshot{committed_, log_[committed_ - 1].term, milliseconds(1), Three(), 1, 0, 0, "s"});
+    Receive(InstallSnapshot{committed_, log_[committed_ - 1].term, milliseconds(1), ThreeMembers(), 1, 0, 0,
+                            "s"});
   }
   void Compact() {
-    ReplicaOut out;
+    ReplicaOutput out;
     replica_->Compact(now_, replica_->applied(), "s", out);
-    Take(out);
+    HandleOutput(out);
   }
-  void Take(ReplicaOut& out) {
-    for (const ReplicaSending& sending : out.sends) {
-      const auto* appended = std::get_if<Appended>(&sending.message.body);
+  void HandleOutput(ReplicaOutput& out) {
+    for (const OutgoingMessage& sending : out.messages) {
+      const auto* appended = std::get_if<AppendResponse>(&sending.message.body);
       if (appended == nullptr || !appended->ok || sending.message.term != term_) continue;
       acknowledged_ = std::max(acknowledged_, appended->index);
       committed_ = std::max(committed_, acknowledged_);
@@ -136,7 +138,7 @@
   std::mt19937_64 random_;
   Time now_{std::chrono::hours(1)};
   Disk disk_;
-  std::optional<Records> write_;
+  std::optional<RecordBatch> write_;
   std::unique_ptr<Replica> replica_;
   std::uint64_t term_ = 1, promised_term_ = 0, acknowledged_ = 0, committed_ = 0;
   std::vector<LogEntry> log_;  // of the leader; acknowledged entries are committed and stay
@@ -151,15 +153,15 @@
 
 BOOST_AUTO_TEST_CASE(entries_take_the_place_of_those_a_snapshot_has_made_dispensable) {
   Disk disk;
-  Replica replica(Three()[0], {}, {}, 1);
+  Replica replica(ThreeMembers()[0], {}, {}, 1);
   Time now{std::chrono::hours(1)};
   std::uint64_t last = 0;
   const auto step = [&](auto&& act) {
-    ReplicaOut out;
+    ReplicaOutput out;
     act(out);
     while (out.write) {
-      Keep(disk, *std::exchange(out.write, std::nullopt));
-      BOOST_REQUIRE(Read(disk));
+      WriteRecords(disk, *std::exchange(out.write, std::nullopt));
+      BOOST_REQUIRE(ReadState(disk));
       replica.OnWritten(now, true, out);
     }
   };
@@ -167,68 +169,70 @@
     AppendEntries append{last, last == 0 ? 0u : 1u, last, 0,
                          std::vector<LogEntry>(700, LogEntry{1, {}, "c", {}})};
     last += 700;
-    step([&](ReplicaOut& out) { replica.OnMessage(now, {Three()[1], Three()[0].life, 1, append}, out); });
+    step([&](ReplicaOutput& out) {
+      replica.OnMessage(now, {ThreeMembers()[1], ThreeMembers()[0].life, 1, append}, out);
+    });
     if (last - replica.log_begin() > 10'000)
-      step([&](ReplicaOut& out) { replica.Compact(now, replica.applied(), std::to_string(last), out); });
+      step([&](ReplicaOutput& out) { replica.Compact(now, replica.applied(), std::to_string(last), out); });
   }
-  const auto held = Read(disk);
-  BOOST_REQUIRE(held);
-  BOOST_TEST(held->snapshot_index == replica.log_begin());
-  BOOST_TEST(held->snapshot_index + held->entries.size() == last);
+  const auto restored = ReadState(disk);
+  BOOST_REQUIRE(restored);
+  BOOST_TEST(restored->snapshot_index == replica.log_begin());
+  BOOST_TEST(restored->snapshot_index + restored->entries.size() == last);
   BOOST_TEST(disk.size() <= kLogSlots + 2);
 }
 
 // A disk of a voter: a snapshot and five entries.
-Disk Some() {
+Disk SampleDisk() {
   Disk disk;
-  Keep(disk, EncodeHardState(kDisk, 3, Life{"core-2", 2}, 10, 15));
-  Keep(disk, {EncodeSnapshot(10, 2, milliseconds(5), Three(), "state")});
+  WriteRecords(disk, EncodeHardState(kDisk, 3, Life{"core-2", 2}, 10, 15));
+  WriteRecords(disk, {EncodeSnapshot(10, 2, milliseconds(5), ThreeMembers(), "state")});
   for (std::uint64_t index = 11; index <= 15; ++index)
-    Keep(disk, {EncodeEntry(index, {3, milliseconds(index), "c", {}})});
+    WriteRecords(disk, {EncodeEntry(index, {3, milliseconds(index), "c", {}})});
   return disk;
 }
 
 BOOST_AUTO_TEST_CASE(damage_is_refused) {
-  BOOST_REQUIRE(Read(Some()));
-  for (const auto& [key, bytes] : Some()) {
+  BOOST_REQUIRE(ReadState(SampleDisk()));
+  for (const auto& [key, bytes] : SampleDisk()) {
     for (std::size_t size = 0; size < bytes.size(); ++size) {
-      Disk cut = Some();
+      Disk cut = SampleDisk();
       cut[key].resize(size);
-      BOOST_TEST(!Read(cut), key << " cut to " << size);
+      BOOST_TEST(!ReadState(cut), key << " cut to " << size);
     }
-    Disk lacking = Some();
-    lacking.erase(key);
-    const auto read = Read(lacking);
+    Disk incomplete = SampleDisk();
+    incomplete.erase(key);
+    const auto read = ReadState(incomplete);
     const bool refused = !read || !read->found;  // without the hard state: a new disk
     BOOST_TEST(refused, key);
   }
-  Disk other = Some();
-  Keep(other, {EncodeSnapshot(9, 2, milliseconds(5), Three(), "state")});
-  BOOST_TEST(!Read(other));
-  other = Some();
-  Keep(other, {EncodeEntry(12 + kLogSlots, {3, milliseconds(1), "c", {}})});
-  BOOST_TEST(!Read(other));
+  Disk other = SampleDisk();
+  WriteRecords(other, {EncodeSnapshot(9, 2, milliseconds(5), ThreeMembers(), "state")});
+  BOOST_TEST(!ReadState(other));
+  other = SampleDisk();
+  WriteRecords(other, {EncodeEntry(12 + kLogSlots, {3, milliseconds(1), "c", {}})});
+  BOOST_TEST(!ReadState(other));
 }
 
 BOOST_AUTO_TEST_CASE(another_lifes_records_count_for_nothing) {
-  Disk disk = Some();
-  const auto none = Read(disk, kDisk + 1);
+  Disk disk = SampleDisk();
+  const auto none = ReadState(disk, kDisk + 1);
   BOOST_REQUIRE(none);
   BOOST_TEST((*none == ReplicaState{}));
-  Member self = Three()[0];
+  Member self = ThreeMembers()[0];
   self.life.disk = kDisk + 1;
   Replica replica(self, *none, {}, 1);
-  ReplicaOut out;
+  ReplicaOutput out;
   replica.Tick(Time{std::chrono::hours(1)}, out);
   BOOST_REQUIRE(out.write);
-  Keep(disk, *out.write);
-  const auto own = Read(disk, kDisk + 1);
+  WriteRecords(disk, *out.write);
+  const auto own = ReadState(disk, kDisk + 1);
   BOOST_REQUIRE(own);
   BOOST_TEST(own->found);
   BOOST_TEST(own->snapshot.empty());
   BOOST_TEST(own->entries.empty());
   BOOST_TEST(own->term == 0u);
-  const auto old = Read(disk);
+  const auto old = ReadState(disk);
   BOOST_REQUIRE(old);
   BOOST_TEST(!old->found);
 }
@@ -238,7 +242,7 @@
   constexpr unsigned char kLacksAGroup[] = {0x96, 0x01, 0x01, 0x90, 0x90, 0x91, 0x94, 0xc4, 0x03,
                                             'g',  '.',  'k',  0xc4, 0x01, 'w',  0x02, 0x00, 0x91,
                                             0x94, 0xc4, 0x01, 'B',  0x02, 0x00, 0x90};
-  StateMachine state{Limits{}};
+  StateMachine state{StateMachineLimits{}};
   state.Apply(LoggedTime(1), PutKey{"g.k", "v", std::nullopt});
   const std::string before = state.Snapshot();
   BOOST_TEST(!state.Restore({reinterpret_cast<const char*>(kLacksAGroup), sizeof(kLacksAGroup)}));
--- a/tests/coordination/replica_search_test.cpp
+++ b/tests/coordination/replica_search_test.cpp
@@ -15,65 +15,66 @@
 
 using Fault = ReplicaOptions::Fault;
 
-constexpr std::size_t kLeastMembers = 5, kMostMembers = 8;
-constexpr std::size_t kMostLost = 2;  // disks at once
-constexpr auto kServedAgain = std::chrono::seconds(3);
-constexpr int kTroubles = 40;  // of one search
+constexpr std::size_t kMinMembers = 5, kMaxMembers = 8;
+constexpr std::size_t kMaxWipedDisks = 2;  // disks at once
+constexpr auto kRecoveryTimeout = std::chrono::seconds(3);
+constexpr int kFaultsPerRun = 40;  // of one search
 
 // One cluster, one seed; `failure` tells the first thing that was wrong.
-class Search {
+class SearchRun {
  public:
-  Search(std::uint64_t seed, Fault fault)
-      : chance_(seed * 7919),
-        members_(kLeastMembers + seed % (kMostMembers - kLeastMembers + 1)),
-        cluster_(members_, Options(fault), seed) {
+  SearchRun(std::uint64_t seed, Fault fault)
+      : random_(seed * 7919),
+        members_(kMinMembers + seed % (kMaxMembers - kMinMembers + 1)),
+        cluster_(members_, RandomClusterOptions(fault), seed) {
     cluster_.on_send = [this](std::size_t from, const ReplicaMessage& message) { CheckSent(from, message); };
     cluster_.on_step = [this](std::size_t member) { CheckState(member); };
   }
 
   std::string Run() {
-    for (int i = 0; i < kTroubles && failure_.empty(); ++i) {
-      Trouble();
-      for (int rounds = Below(5); rounds > 0; --rounds) {
-        for (int calls = Below(6); calls > 0; --calls) SomeCall();
-        cluster_.Run(milliseconds(Below(200)));
+    for (int i = 0; i < kFaultsPerRun && failure_.empty(); ++i) {
+      InjectFault();
+      for (int rounds = RandomBelow(5); rounds > 0; --rounds) {
+        for (int calls = RandomBelow(6); calls > 0; --calls) RandomCall();
+        cluster_.Run(milliseconds(RandomBelow(200)));
       }
     }
-    if (failure_.empty()) Heal();
+    if (failure_.empty()) HealAndCheck();
     return failure_;
   }
 
  private:
-  CoordinatorOptions Small(Fault fault) {
+  CoordinatorOptions RandomCoordinatorOptions(Fault fault) {
     CoordinatorOptions options;
     options.replica.fault = fault;
-    options.replica.append_bytes = Below(2) ? 200 : 256u << 10;
-    options.replica.snapshot_chunk = Below(2) ? 100 : 128u << 10;
-    options.replica.catch_up_gap = Below(2) ? 4 : 64;
-    options.compact_after = std::uint64_t{4} << (2 * Below(4));
+    options.replica.max_append_bytes = RandomBelow(2) ? 200 : 256u << 10;
+    options.replica.snapshot_chunk_bytes = RandomBelow(2) ? 100 : 128u << 10;
+    options.replica.max_catch_up_gap = RandomBelow(2) ? 4 : 64;
+    options.compact_after_entries = std::uint64_t{4} << (2 * RandomBelow(4));
     return options;
   }
-  ClusterOptions Options(Fault fault) {
+  ClusterOptions RandomClusterOptions(Fault fault) {
     ClusterOptions options;
-    options.coordinator = Small(fault);
-    constexpr Duration kWays[] = {milliseconds(3), milliseconds(3), milliseconds(40), milliseconds(200)};
-    options.most_way = kWays[Below(4)];
-    options.most_sync = Below(3) == 0 ? milliseconds(150) : milliseconds(8);
-    options.lost = Below(2) * 0.05;
-    options.refused_writes = Below(2) * 0.05;
+    options.coordinator = RandomCoordinatorOptions(fault);
+    constexpr Duration kDelays[] = {milliseconds(3), milliseconds(3), milliseconds(40), milliseconds(200)};
+    options.max_delay = kDelays[RandomBelow(4)];
+    options.max_sync = RandomBelow(3) == 0 ? milliseconds(150) : milliseconds(8);
+    options.loss_rate = RandomBelow(2) * 0.05;
+    options.write_failure_rate = RandomBelow(2) * 0.05;
     return options;
   }
-  int Below(int bound) { return std::uniform_int_distribution<int>(0, bound - 1)(chance_); }
-  std::size_t Any() { return static_cast<std::size_t>(Below(static_cast<int>(members_))); }
+  int RandomBelow(int bound) { return std::uniform_int_distribution<int>(0, bound - 1)(random_); }
+  std::size_t RandomMember() { return static_cast<std::size_t>(RandomBelow(static_cast<int>(members_))); }
   void Fail(const std::string& what) {
-    if (failure_.empty()) failure_ = what + Standing();
+    if (failure_.empty()) failure_ = what + DescribeMembers();
   }
 
   // ---- Troubles ----
 
-  void Trouble() {
-    const std::size_t member = Below(3) == 0 ? cluster_.Leader().value_or(Any()) : Any();
-    switch (Below(14)) {
+  void InjectFault() {
+    const std::size_t member =
+        RandomBelow(3) == 0 ? cluster_.Leader().value_or(RandomMember()) : RandomMember();
+    switch (RandomBelow(14)) {
       case 0:
       case 1:
         return cluster_.Kill(member);
@@ -88,88 +89,88 @@
       case 5:
       case 6:
         for (std::size_t i = 0; i < members_; ++i)
-          if (cluster_.frozen(i) && Below(2)) cluster_.Thaw(i);
+          if (cluster_.frozen(i) && RandomBelow(2)) cluster_.Thaw(i);
         return;
       case 7:
-        return Split();
+        return Partition();
       case 8:
-        return cluster_.Cut(member, Any());
+        return cluster_.BlockPath(member, RandomMember());
       case 9:
-        return cluster_.HealAll();
+        return cluster_.UnblockAllPaths();
       case 10:
-        stalled_until_ = std::max(stalled_until_, cluster_.now() + std::chrono::seconds(2));
-        return cluster_.StallDisk(member, milliseconds(Below(2000)));
+        disks_stalled_until_ = std::max(disks_stalled_until_, cluster_.now() + std::chrono::seconds(2));
+        return cluster_.StallDisk(member, milliseconds(RandomBelow(2000)));
       case 11:
-        return ChangeRoster();
+        return ChangeMembership();
       default:
         return StartAll();
     }
   }
   void StartAll() {
     for (std::size_t i = 0; i < members_; ++i)
-      if (Below(4) != 0) cluster_.Start(i);
+      if (RandomBelow(4) != 0) cluster_.Start(i);
   }
   // Cuts the members in two, both ways or one.
-  void Split() {
-    const bool both = Below(2);
+  void Partition() {
+    const bool both = RandomBelow(2);
     std::vector<bool> side;
-    for (std::size_t i = 0; i < members_; ++i) side.push_back(Below(2));
+    for (std::size_t i = 0; i < members_; ++i) side.push_back(RandomBelow(2));
     for (std::size_t i = 0; i < members_; ++i)
       for (std::size_t k = 0; k < members_; ++k)
         if (side[i] && !side[k]) {
-          cluster_.Cut(i, k);
-          if (both) cluster_.Cut(k, i);
+          cluster_.BlockPath(i, k);
+          if (both) cluster_.BlockPath(k, i);
         }
   }
   // A lost disk counts until the log has settled on voters with the member's new life and without the old
   // one.
-  void ForgetSettled() {
+  void ForgetReplacedDisks() {
     const auto leader = cluster_.Leader();
     if (!leader) return;
     const Replica& replica = cluster_.coordinator(*leader)->replica();
     if (replica.applied() != replica.log_last()) return;
     std::set<Life> voters;
     for (const Member& voter : replica.voters()) voters.insert(voter.life);
-    std::erase_if(lost_, [&](const auto& lost) {
+    std::erase_if(wiped_disks_, [&](const auto& lost) {
       return !voters.contains(lost.second) && voters.contains(cluster_.MemberAt(lost.first).life);
     });
   }
   void Wipe(std::size_t member) {
-    ForgetSettled();
-    if (lost_.size() >= kMostLost) return;
-    lost_.emplace(member, cluster_.MemberAt(member).life);
+    ForgetReplacedDisks();
+    if (wiped_disks_.size() >= kMaxWipedDisks) return;
+    wiped_disks_.emplace(member, cluster_.MemberAt(member).life);
     cluster_.Wipe(member);
-    left_out_.reset();
-    ApplyRoster();
-    if (Below(2)) cluster_.Start(member);
+    removed_member_.reset();
+    ApplyMembership();
+    if (RandomBelow(2)) cluster_.Start(member);
   }
   // Never to fewer than five: with four, two lost disks are a majority's.
-  void ChangeRoster() {
-    if (members_ == kLeastMembers) return;
-    ForgetSettled();
-    left_out_ = left_out_ || !lost_.empty() ? std::nullopt : std::optional(Any());
-    ApplyRoster();
+  void ChangeMembership() {
+    if (members_ == kMinMembers) return;
+    ForgetReplacedDisks();
+    removed_member_ = removed_member_ || !wiped_disks_.empty() ? std::nullopt : std::optional(RandomMember());
+    ApplyMembership();
   }
-  void ApplyRoster() {
+  void ApplyMembership() {
     std::vector<std::size_t> members;
     for (std::size_t i = 0; i < members_; ++i)
-      if (i != left_out_) members.push_back(i);
-    cluster_.SetRoster(members);
+      if (i != removed_member_) members.push_back(i);
+    cluster_.SetMembership(members);
   }
 
   // ---- Callers ----
 
   // Mostly one that serves, also one that has not heard yet that another one does.
-  std::size_t SomeServing() {
+  std::size_t RandomServingMember() {
     std::vector<std::size_t> serving;
     for (std::size_t i = 0; i < members_; ++i)
       if (cluster_.running(i) && cluster_.coordinator(i)->replica().serving()) serving.push_back(i);
-    if (serving.empty() || Below(6) == 0) return Any();
-    return serving[static_cast<std::size_t>(Below(static_cast<int>(serving.size())))];
+    if (serving.empty() || RandomBelow(6) == 0) return RandomMember();
+    return serving[static_cast<std::size_t>(RandomBelow(static_cast<int>(serving.size())))];
   }
-  void SomeCall() {
-    const std::size_t member = SomeServing();
-    switch (Below(3)) {
+  void RandomCall() {
+    const std::size_t member = RandomServingMember();
+    switch (RandomBelow(3)) {
       case 0:
         return TakeNumberAt(member, [] {});
       case 1:
@@ -180,7 +181,7 @@
   }
   void TakeNumberAt(std::size_t member, std::function<void()> done) {
     cluster_.Call(member, TakeNumber{"n"}, [this, done, before = number_](const Reply& reply) {
-      const auto* result = std::get_if<Result>(&reply);
+      const auto* result = std::get_if<CommandResult>(&reply);
       const auto* taken = result ? std::get_if<NumberTaken>(result) : nullptr;
       if (taken == nullptr) return;
       if (taken->value <= before || !numbers_.insert(taken->value).second)
@@ -192,7 +193,7 @@
   void PutAt(std::size_t member) {
     const std::string value = "v" + std::to_string(++puts_);
     cluster_.Call(member, PutKey{"k", value, std::nullopt}, [this, before = revision_](const Reply& reply) {
-      const auto* result = std::get_if<Result>(&reply);
+      const auto* result = std::get_if<CommandResult>(&reply);
       const auto* put = result ? std::get_if<KeyPut>(result) : nullptr;
       if (put == nullptr) return;
       if (put->revision <= before || !revisions_.insert(put->revision).second)
@@ -202,25 +203,25 @@
   }
   void ReadAt(std::size_t member) {
     cluster_.Call(member, ReadKey{"k"}, [this, before = revision_](const Reply& reply) {
-      const auto* read = std::get_if<KeyRead>(&reply);
+      const auto* read = std::get_if<ReadResult>(&reply);
       if (read != nullptr && read->revision < before)
         Fail("a read of revision " + std::to_string(read->revision) + " after " + std::to_string(before));
     });
   }
 
   // All is well again: a call must be served soon, and know all that was answered.
-  void Heal() {
-    cluster_.HealAll();
-    cluster_.SetTroubles(milliseconds(3), 0, 0);
-    left_out_.reset();
-    ApplyRoster();
+  void HealAndCheck() {
+    cluster_.UnblockAllPaths();
+    cluster_.SetFaultRates(milliseconds(3), 0, 0);
+    removed_member_.reset();
+    ApplyMembership();
     for (std::size_t i = 0; i < members_; ++i) {
       cluster_.Start(i);
       if (cluster_.frozen(i)) cluster_.Thaw(i);
     }
-    const Time ends = std::max(cluster_.now(), stalled_until_) + kServedAgain;
+    const Time deadline = std::max(cluster_.now(), disks_stalled_until_) + kRecoveryTimeout;
     bool served = false;
-    while (!served && cluster_.now() < ends && failure_.empty()) {
+    while (!served && cluster_.now() < deadline && failure_.empty()) {
       if (const auto leader = cluster_.Leader()) TakeNumberAt(*leader, [&] { served = true; });
       cluster_.Run(milliseconds(50));
     }
@@ -233,28 +234,29 @@
   void CheckSettled() {
     const auto leader = cluster_.Leader();
     if (!leader) return Fail("no leader in the end");
-    const Replica& leads = cluster_.coordinator(*leader)->replica();
+    const Replica& leader_replica = cluster_.coordinator(*leader)->replica();
     std::set<Life> voters, members;
-    for (const Member& voter : leads.voters()) voters.insert(voter.life);
+    for (const Member& voter : leader_replica.voters()) voters.insert(voter.life);
     for (std::size_t i = 0; i < members_; ++i) members.insert(cluster_.MemberAt(i).life);
     if (voters != members) Fail("the voters are not the roster's in the end");
     for (std::size_t i = 0; i < members_; ++i)
-      if (cluster_.coordinator(i)->replica().applied() != leads.applied())
+      if (cluster_.coordinator(i)->replica().applied() != leader_replica.applied())
         Fail("member " + std::to_string(i) + " stays behind");
   }
 
   // Where each member stands, for the tale of a failure.
-  std::string Standing() const {
-    std::ostringstream told;
+  std::string DescribeMembers() const {
+    std::ostringstream description;
     for (std::size_t i = 0; i < members_; ++i) {
       if (!cluster_.running(i)) continue;
       const Replica& replica = cluster_.coordinator(i)->replica();
-      told << "\n  " << replica.self().life.node << "/" << replica.self().life.disk << " term "
-           << replica.term() << " log " << replica.log_begin() << ".." << replica.log_last() << " applied "
-           << replica.applied() << (replica.serving() ? " serves" : "") << " voters";
-      for (const Member& voter : replica.voters()) told << " " << voter.life.node << "/" << voter.life.disk;
+      description << "\n  " << replica.self().life.node << "/" << replica.self().life.disk << " term "
+                  << replica.term() << " log " << replica.log_begin() << ".." << replica.log_last()
+                  << " applied " << replica.applied() << (replica.serving() ? " serves" : "") << " voters";
+      for (const Member& voter : replica.voters())
+        description << " " << voter.life.node << "/" << voter.life.disk;
     }
-    return told.str();
+    return description.str();
   }
 
   // ---- Inside ----
@@ -262,15 +264,15 @@
   void CheckSent(std::size_t from, const ReplicaMessage& message) {
     const auto* append = std::get_if<AppendEntries>(&message.body);
     if (append == nullptr && !std::holds_alternative<InstallSnapshot>(message.body)) return;
-    const auto leads = std::pair(message.from.life, cluster_.process(from));
-    if (led_.try_emplace(message.term, leads).first->second != leads)
+    const auto leader_process = std::pair(message.from.life, cluster_.process(from));
+    if (leaders_by_term_.try_emplace(message.term, leader_process).first->second != leader_process)
       Fail("two leaders of term " + std::to_string(message.term));
     if (append == nullptr) return;
     std::uint64_t index = append->previous_index;
     int changes = 0;
     for (const LogEntry& entry : append->entries) {
       ++index;
-      if (sent_.try_emplace(std::pair(index, entry.term), entry).first->second != entry)
+      if (sent_entries_.try_emplace(std::pair(index, entry.term), entry).first->second != entry)
         Fail("two entries " + std::to_string(index) + " of term " + std::to_string(entry.term));
       if (!entry.voters.empty() && entry.term == message.term && index > append->commit) ++changes;
     }
@@ -281,31 +283,31 @@
     const Coordinator& coordinator = *cluster_.coordinator(member);
     const std::uint64_t applied = coordinator.replica().applied();
     const std::pair<std::uint64_t, std::uint64_t> known{cluster_.process(member), applied};
-    if (seen_[member] == known) return;
-    seen_[member] = known;
+    if (last_checked_[member] == known) return;
+    last_checked_[member] = known;
     const std::string state = coordinator.state().Snapshot();
-    if (states_.try_emplace(applied, state).first->second != state)
+    if (states_by_index_.try_emplace(applied, state).first->second != state)
       Fail("two states after entry " + std::to_string(applied));
   }
 
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   const std::size_t members_;
   Cluster cluster_;
   std::string failure_;
-  std::optional<std::size_t> left_out_;
-  std::set<std::pair<std::size_t, Life>> lost_;
-  Time stalled_until_{};
+  std::optional<std::size_t> removed_member_;
+  std::set<std::pair<std::size_t, Life>> wiped_disks_;
+  Time disks_stalled_until_{};
   std::uint64_t number_ = 0, revision_ = 0, puts_ = 0;
   std::set<std::uint64_t> numbers_, revisions_;
-  std::map<std::uint64_t, std::pair<Life, std::uint64_t>> led_;
-  std::map<std::pair<std::uint64_t, std::uint64_t>, LogEntry> sent_;
-  std::map<std::uint64_t, std::string> states_;
-  std::pair<std::uint64_t, std::uint64_t> seen_[kMostMembers];
+  std::map<std::uint64_t, std::pair<Life, std::uint64_t>> leaders_by_term_;
+  std::map<std::pair<std::uint64_t, std::uint64_t>, LogEntry> sent_entries_;
+  std::map<std::uint64_t, std::string> states_by_index_;
+  std::pair<std::uint64_t, std::uint64_t> last_checked_[kMaxMembers];
 };
 
-std::uint64_t FromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t FromEnvironment(const char* name, std::uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
 BOOST_AUTO_TEST_CASE(whatever_happens_nothing_answered_is_lost_and_service_returns) {
@@ -313,7 +315,7 @@
   const std::uint64_t count = FromEnvironment("SEARCH_SEEDS", 600);
   const auto fault = static_cast<Fault>(FromEnvironment("SEARCH_FAULT", 0));
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
-    const std::string failure = Search(seed, fault).Run();
+    const std::string failure = SearchRun(seed, fault).Run();
     BOOST_TEST(failure.empty(), "seed " << seed << ": " << failure);
   }
 }
--- a/tests/coordination/replica_test.cpp
+++ b/tests/coordination/replica_test.cpp
@@ -6,24 +6,25 @@
 namespace curlewdoor::coordination::testing {
 namespace {
 
-std::optional<Reply> Ask(Cluster& cluster, const Call& call, Duration patience = std::chrono::seconds(3)) {
-  const Time ends = cluster.now() + patience;
-  while (cluster.now() < ends) {
+std::optional<Reply> CallUntilAnswered(Cluster& cluster, const Call& call,
+                                       Duration patience = std::chrono::seconds(3)) {
+  const Time deadline = cluster.now() + patience;
+  while (cluster.now() < deadline) {
     std::optional<Reply> reply;
     if (const auto leader = cluster.Leader())
       cluster.Call(*leader, call, [&](const Reply& each) { reply = each; });
     for (int i = 0; i < 25 && !reply; ++i) cluster.Run(milliseconds(20));
-    const bool clear =
-        reply && !std::holds_alternative<NotServed>(*reply) && !std::holds_alternative<Unclear>(*reply);
-    if (clear) return reply;
+    const bool definite = reply && !std::holds_alternative<NotServed>(*reply) &&
+                          !std::holds_alternative<OutcomeUnknown>(*reply);
+    if (definite) return reply;
   }
   return std::nullopt;
 }
 
-std::optional<std::uint64_t> Take(Cluster& cluster) {
-  const auto reply = Ask(cluster, TakeNumber{"n"});
+std::optional<std::uint64_t> TakeNextNumber(Cluster& cluster) {
+  const auto reply = CallUntilAnswered(cluster, TakeNumber{"n"});
   if (!reply) return std::nullopt;
-  return std::get<NumberTaken>(std::get<Result>(*reply)).value;
+  return std::get<NumberTaken>(std::get<CommandResult>(*reply)).value;
 }
 
 BOOST_AUTO_TEST_CASE(numbers_go_on_rising_through_lost_leaders_and_two_wiped_disks) {
@@ -31,7 +32,7 @@
     Cluster cluster(6, {}, seed);
     std::uint64_t last = 0;
     for (int round = 0; round < 6; ++round) {
-      const auto value = Take(cluster);
+      const auto value = TakeNextNumber(cluster);
       BOOST_REQUIRE_MESSAGE(value, "seed " << seed << " round " << round);
       BOOST_TEST(*value > last);
       last = *value;
@@ -39,7 +40,7 @@
       if (round == 2) {
         for (std::size_t i = 0; i < 6; ++i) (i < 2 ? cluster.Wipe(i) : cluster.Kill(i));
         for (std::size_t i = 0; i < 6; ++i) cluster.Start(i);
-        cluster.SetRoster({0, 1, 2, 3, 4, 5});
+        cluster.SetMembership({0, 1, 2, 3, 4, 5});
       } else if (leader) {
         cluster.Kill(*leader);
         cluster.Run(milliseconds(200));
@@ -66,12 +67,12 @@
 
 BOOST_AUTO_TEST_CASE(a_voter_that_lives_stays_until_the_one_that_comes_for_it_votes) {
   Cluster cluster(6, {}, 1);
-  BOOST_REQUIRE(Take(cluster));
+  BOOST_REQUIRE(TakeNextNumber(cluster));
   cluster.Kill(3);
-  cluster.SetRoster({0, 1, 2, 4, 5});
+  cluster.SetMembership({0, 1, 2, 4, 5});
   BOOST_REQUIRE(RunUntil(cluster, [&] { return VotersOf(cluster).size() == 5; }));
   // One comes back to the roster, but doesn't run yet; another one, which does, is to leave.
-  cluster.SetRoster({0, 1, 2, 3, 4});
+  cluster.SetMembership({0, 1, 2, 3, 4});
   cluster.Run(std::chrono::seconds(5));
   BOOST_TEST(VotersOf(cluster).contains("core-6"));
   cluster.Start(3);
