--- a/tests/coordination/state_machine_test.cpp
+++ b/tests/coordination/state_machine_test.cpp
@@ -15,10 +15,10 @@
 struct Step {
   int second = 0;  // of logged time
   Command command;
-  Result result;
+  CommandResult result;
 };
 
-std::string Show(const Result& result) {
+std::string Describe(const CommandResult& result) {
   static const std::vector<std::string> kNames = {"granted", "refused",  "done",      "number",
                                                   "put",     "conflict", "forgotten", "no room"};
   std::string text = kNames.at(result.index());
@@ -31,22 +31,22 @@
 }
 
 // Plays the steps; every step must also have its result in a machine restored from the one before it.
-void Play(StateMachine& machine, const std::vector<Step>& steps, const Limits& limits = {}) {
+void RunSteps(StateMachine& machine, const std::vector<Step>& steps, const StateMachineLimits& limits = {}) {
   for (std::size_t i = 0; i < steps.size(); ++i) {
     StateMachine restored(limits);
     BOOST_REQUIRE(restored.Restore(machine.Snapshot()));
     BOOST_TEST(restored.Snapshot() == machine.Snapshot());
-    const Result result = machine.Apply(seconds(steps[i].second), steps[i].command);
-    BOOST_TEST(Show(result) == Show(steps[i].result),
-               "step " << i << ": " << Show(result) << " instead of " << Show(steps[i].result));
-    BOOST_TEST(Show(restored.Apply(seconds(steps[i].second), steps[i].command)) == Show(result));
+    const CommandResult result = machine.Apply(seconds(steps[i].second), steps[i].command);
+    BOOST_TEST(Describe(result) == Describe(steps[i].result),
+               "step " << i << ": " << Describe(result) << " instead of " << Describe(steps[i].result));
+    BOOST_TEST(Describe(restored.Apply(seconds(steps[i].second), steps[i].command)) == Describe(result));
     BOOST_TEST(restored.Snapshot() == machine.Snapshot(), "step " << i << " after a snapshot");
   }
 }
 
-void Play(const std::vector<Step>& steps, const Limits& limits = {}) {
+void RunSteps(const std::vector<Step>& steps, const StateMachineLimits& limits = {}) {
   StateMachine machine(limits);
-  Play(machine, steps, limits);
+  RunSteps(machine, steps, limits);
 }
 
 PutKey Put(const char* key, const char* value, std::optional<Revision> expected = std::nullopt) {
@@ -54,55 +54,55 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_lock_has_one_holder_at_a_time) {
-  Play({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
-        {0, AcquireLock{"l", "b", 100}, LockRefused{}},
-        {0, AcquireLock{"l", "a", 100}, LockGranted{1}},
-        {0, RenewLock{"l", "a", 1, 100}, Done{}},
-        {0, RenewLock{"l", "b", 1, 100}, LockRefused{}},
-        {0, RenewLock{"l", "a", 2, 100}, LockRefused{}},
-        {0, RenewLock{"other", "a", 1, 100}, LockRefused{}},
-        {0, ReleaseLock{"l", "b", 1}, Done{}},
-        {0, ReleaseLock{"l", "a", 2}, Done{}},
-        {0, AcquireLock{"l", "b", 100}, LockRefused{}},
-        {0, ReleaseLock{"l", "a", 1}, Done{}},
-        {0, ReleaseLock{"l", "a", 1}, Done{}},
-        {0, RenewLock{"l", "a", 1, 100}, LockRefused{}},
-        {0, AcquireLock{"l", "b", 100}, LockGranted{2}},
-        {0, ReleaseLock{"l", "a", 1}, Done{}},  // late: not b's hold
-        {0, AcquireLock{"l", "a", 100}, LockRefused{}}});
+  RunSteps({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
+            {0, AcquireLock{"l", "b", 100}, LockRefused{}},
+            {0, AcquireLock{"l", "a", 100}, LockGranted{1}},
+            {0, RenewLock{"l", "a", 1, 100}, Done{}},
+            {0, RenewLock{"l", "b", 1, 100}, LockRefused{}},
+            {0, RenewLock{"l", "a", 2, 100}, LockRefused{}},
+            {0, RenewLock{"other", "a", 1, 100}, LockRefused{}},
+            {0, ReleaseLock{"l", "b", 1}, Done{}},
+            {0, ReleaseLock{"l", "a", 2}, Done{}},
+            {0, AcquireLock{"l", "b", 100}, LockRefused{}},
+            {0, ReleaseLock{"l", "a", 1}, Done{}},
+            {0, ReleaseLock{"l", "a", 1}, Done{}},
+            {0, RenewLock{"l", "a", 1, 100}, LockRefused{}},
+            {0, AcquireLock{"l", "b", 100}, LockGranted{2}},
+            {0, ReleaseLock{"l", "a", 1}, Done{}},  // late: not b's hold
+            {0, AcquireLock{"l", "a", 100}, LockRefused{}}});
 }
 
 BOOST_AUTO_TEST_CASE(a_name_that_held_before_gets_a_new_fence) {
-  Play({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
-        {0, ReleaseLock{"l", "a", 1}, Done{}},
-        {0, AcquireLock{"l", "a", 100}, LockGranted{2}},
-        {0, RenewLock{"l", "a", 1, 100}, LockRefused{}},
-        {0, ExpireLock{"l", 2, 0}, Done{}},
-        {0, AcquireLock{"l", "a", 100}, LockGranted{3}},
-        {0, ReleaseLock{"l", "a", 2}, Done{}},
-        {0, AcquireLock{"l", "b", 100}, LockRefused{}},
-        {0, AcquireLock{"m", "b", 100}, LockGranted{4}}});
+  RunSteps({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
+            {0, ReleaseLock{"l", "a", 1}, Done{}},
+            {0, AcquireLock{"l", "a", 100}, LockGranted{2}},
+            {0, RenewLock{"l", "a", 1, 100}, LockRefused{}},
+            {0, ExpireLock{"l", 2, 0}, Done{}},
+            {0, AcquireLock{"l", "a", 100}, LockGranted{3}},
+            {0, ReleaseLock{"l", "a", 2}, Done{}},
+            {0, AcquireLock{"l", "b", 100}, LockRefused{}},
+            {0, AcquireLock{"m", "b", 100}, LockGranted{4}}});
 }
 
 BOOST_AUTO_TEST_CASE(a_hold_ends_only_if_nothing_renewed_it) {
-  Play({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
-        {0, RenewLock{"l", "a", 1, 100}, Done{}},
-        {0, ExpireLock{"l", 1, 0}, Done{}},
-        {0, AcquireLock{"l", "b", 100}, LockRefused{}},
-        {0, AcquireLock{"l", "a", 100}, LockGranted{1}},
-        {0, ExpireLock{"l", 1, 1}, Done{}},
-        {0, RenewLock{"l", "a", 1, 100}, Done{}},  // still held
-        {0, ExpireLock{"l", 2, 3}, Done{}},        // another hold's
-        {0, ExpireLock{"none", 1, 3}, Done{}},
-        {0, AcquireLock{"l", "b", 100}, LockRefused{}},
-        {0, ExpireLock{"l", 1, 3}, Done{}},
-        {0, AcquireLock{"l", "b", 100}, LockGranted{2}},
-        {0, ExpireLock{"l", 1, 0}, Done{}},  // the one before it
-        {0, RenewLock{"l", "b", 2, 100}, Done{}}});
+  RunSteps({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
+            {0, RenewLock{"l", "a", 1, 100}, Done{}},
+            {0, ExpireLock{"l", 1, 0}, Done{}},
+            {0, AcquireLock{"l", "b", 100}, LockRefused{}},
+            {0, AcquireLock{"l", "a", 100}, LockGranted{1}},
+            {0, ExpireLock{"l", 1, 1}, Done{}},
+            {0, RenewLock{"l", "a", 1, 100}, Done{}},  // still held
+            {0, ExpireLock{"l", 2, 3}, Done{}},        // another hold's
+            {0, ExpireLock{"none", 1, 3}, Done{}},
+            {0, AcquireLock{"l", "b", 100}, LockRefused{}},
+            {0, ExpireLock{"l", 1, 3}, Done{}},
+            {0, AcquireLock{"l", "b", 100}, LockGranted{2}},
+            {0, ExpireLock{"l", 1, 0}, Done{}},  // the one before it
+            {0, RenewLock{"l", "b", 2, 100}, Done{}}});
 }
 
 BOOST_AUTO_TEST_CASE(a_hold_lasts_the_longest_that_was_asked_for) {
-  StateMachine machine{Limits{}};
+  StateMachine machine{StateMachineLimits{}};
   machine.Apply(seconds(0), AcquireLock{"l", "a", 5000});
   machine.Apply(seconds(0), RenewLock{"l", "a", 1, 100});
   BOOST_TEST(machine.holds().at("l").hold_ms == 5000u);
@@ -113,83 +113,83 @@
 }
 
 BOOST_AUTO_TEST_CASE(numbers_rise_by_name) {
-  Play({{0, TakeNumber{"n"}, NumberTaken{1}},
-        {0, TakeNumber{"n"}, NumberTaken{2}},
-        {0, TakeNumber{"m"}, NumberTaken{1}},
-        {99, TakeNumber{"n"}, NumberTaken{3}}});
+  RunSteps({{0, TakeNumber{"n"}, NumberTaken{1}},
+            {0, TakeNumber{"n"}, NumberTaken{2}},
+            {0, TakeNumber{"m"}, NumberTaken{1}},
+            {99, TakeNumber{"n"}, NumberTaken{3}}});
 }
 
 BOOST_AUTO_TEST_CASE(a_put_applies_to_the_expected_revision_alone) {
-  Play({{0, Put("g.a", "1", 0), KeyPut{1}},
-        {0, Put("g.a", "2", 0), KeyConflict{1}},
-        {0, Put("g.b", "3", 0), KeyPut{2}},
-        {0, Put("g.a", "4", 2), KeyConflict{1}},
-        {0, Put("g.a", "5", 1), KeyPut{3}},
-        {0, Put("g.a", "6", 1), KeyConflict{3}},
-        {0, Put("g.a", "7"), KeyPut{4}},
-        {0, Put("g.none", "8", 1), KeyConflict{0}},
-        {0, Put("h.a", "9", 0), KeyPut{1}},  // a group counts by itself
-        {0, Put("g", "10", 0), KeyPut{1}},   // and a name without a dot is one
-        {0, Put("g.", "11", 0), KeyPut{5}},  // "g." is in g.
-        {0, Put("g.a.b", "12", 0), KeyPut{6}}});
+  RunSteps({{0, Put("g.a", "1", 0), KeyPut{1}},
+            {0, Put("g.a", "2", 0), KeyConflict{1}},
+            {0, Put("g.b", "3", 0), KeyPut{2}},
+            {0, Put("g.a", "4", 2), KeyConflict{1}},
+            {0, Put("g.a", "5", 1), KeyPut{3}},
+            {0, Put("g.a", "6", 1), KeyConflict{3}},
+            {0, Put("g.a", "7"), KeyPut{4}},
+            {0, Put("g.none", "8", 1), KeyConflict{0}},
+            {0, Put("h.a", "9", 0), KeyPut{1}},  // a group counts by itself
+            {0, Put("g", "10", 0), KeyPut{1}},   // and a name without a dot is one
+            {0, Put("g.", "11", 0), KeyPut{5}},  // "g." is in g.
+            {0, Put("g.a.b", "12", 0), KeyPut{6}}});
 }
 
 BOOST_AUTO_TEST_CASE(a_put_that_comes_again_finds_its_first_revision) {
-  Play({{0, Put("g.a", "1", 0), KeyPut{1}},
-        {0, Put("g.a", "1", 0), KeyPut{1}},
-        {0, Put("g.a", "2", 1), KeyPut{2}},
-        {0, Put("g.b", "3"), KeyPut{3}},
-        {1, Put("g.a", "1", 0), KeyPut{1}},
-        {1, Put("g.a", "1"), KeyPut{1}},
-        {1, Put("g.a", "2", 1), KeyPut{2}},
-        {1, Put("g.b", "1", 3), KeyPut{4}},    // the same value under another key is another put
-        {999, Put("g.b", "1", 3), KeyPut{4}},  // a key's newest put is known for ever
-        {999, Put("g.a", "2", 1), KeyPut{2}}});
+  RunSteps({{0, Put("g.a", "1", 0), KeyPut{1}},
+            {0, Put("g.a", "1", 0), KeyPut{1}},
+            {0, Put("g.a", "2", 1), KeyPut{2}},
+            {0, Put("g.b", "3"), KeyPut{3}},
+            {1, Put("g.a", "1", 0), KeyPut{1}},
+            {1, Put("g.a", "1"), KeyPut{1}},
+            {1, Put("g.a", "2", 1), KeyPut{2}},
+            {1, Put("g.b", "1", 3), KeyPut{4}},    // the same value under another key is another put
+            {999, Put("g.b", "1", 3), KeyPut{4}},  // a key's newest put is known for ever
+            {999, Put("g.a", "2", 1), KeyPut{2}}});
 }
 
 BOOST_AUTO_TEST_CASE(a_conflict_is_told_only_where_it_is_known) {
-  Limits limits;
+  StateMachineLimits limits;
   limits.history = seconds(10);
-  Play({{0, Put("g.a", "1", 0), KeyPut{1}},
-        {5, Put("g.a", "2", 1), KeyPut{2}},
-        {9, Put("g.a", "3", 2), KeyPut{3}},
-        {9, Put("g.a", "x", 0), KeyConflict{3}},
-        {9, Put("g.a", "1", 0), KeyPut{1}},
-        {10, Put("g.a", "1", 0), OutcomeForgotten{}},  // revision 1 is dropped now
-        {10, Put("g.a", "x", 0), OutcomeForgotten{}},
-        {10, Put("g.a", "x", 1), KeyConflict{3}},  // could have become 2 or 3 alone: both are known
-        {10, Put("g.a", "2", 1), KeyPut{2}},
-        {15, Put("g.a", "2", 1), OutcomeForgotten{}},
-        {15, Put("g.a", "x", 2), KeyConflict{3}},
-        {99, Put("g.a", "x", 2), KeyConflict{3}},  // 3 is dropped, but it is the present one
-        {99, Put("g.a", "4", 3), KeyPut{4}},
-        {99, Put("g.a", "x", 2), OutcomeForgotten{}},
-        {99, Put("g.a", "3", 2), OutcomeForgotten{}},
-        {99, Put("g.a", "x", 3), KeyConflict{4}},
-        {99, Put("g.b", "x", 0), KeyPut{5}},
-        {99, Put("g.b", "y", 0), KeyConflict{5}}},  // another key's history is no matter
-       limits);
+  RunSteps({{0, Put("g.a", "1", 0), KeyPut{1}},
+            {5, Put("g.a", "2", 1), KeyPut{2}},
+            {9, Put("g.a", "3", 2), KeyPut{3}},
+            {9, Put("g.a", "x", 0), KeyConflict{3}},
+            {9, Put("g.a", "1", 0), KeyPut{1}},
+            {10, Put("g.a", "1", 0), OutcomeExpired{}},  // revision 1 is dropped now
+            {10, Put("g.a", "x", 0), OutcomeExpired{}},
+            {10, Put("g.a", "x", 1), KeyConflict{3}},  // could have become 2 or 3 alone: both are known
+            {10, Put("g.a", "2", 1), KeyPut{2}},
+            {15, Put("g.a", "2", 1), OutcomeExpired{}},
+            {15, Put("g.a", "x", 2), KeyConflict{3}},
+            {99, Put("g.a", "x", 2), KeyConflict{3}},  // 3 is dropped, but it is the present one
+            {99, Put("g.a", "4", 3), KeyPut{4}},
+            {99, Put("g.a", "x", 2), OutcomeExpired{}},
+            {99, Put("g.a", "3", 2), OutcomeExpired{}},
+            {99, Put("g.a", "x", 3), KeyConflict{4}},
+            {99, Put("g.b", "x", 0), KeyPut{5}},
+            {99, Put("g.b", "y", 0), KeyConflict{5}}},  // another key's history is no matter
+           limits);
 }
 
 BOOST_AUTO_TEST_CASE(a_put_that_was_refused_never_takes_effect) {
-  Limits limits;
-  limits.refusals = 2;
-  Play({{0, Put("g.a", "early", 2), KeyConflict{0}},
-        {0, Put("g.a", "1", 0), KeyPut{1}},
-        {0, Put("g.b", "b", 3), KeyConflict{0}},
-        {0, Put("g.a", "early", 2), KeyConflict{1}},     // again: not kept twice
-        {0, Put("g.a", "much", 9), OutcomeForgotten{}},  // no more can be kept
-        {0, Put("g.a", "old", 0), KeyConflict{1}},       // needs no keeping
-        {0, Put("g.a", "2", 1), KeyPut{2}},
-        {0, Put("g.a", "early", 2), KeyConflict{2}},  // its revision has come
-        {0, Put("g.a", "3", 2), KeyPut{3}},           // another put's hasn't been refused
-        {0, Put("g.a", "early", 2), KeyConflict{3}},
-        {0, Put("g.a", "much", 9), KeyConflict{3}},  // its place is free again
-        {0, Put("g.b", "b", 3), KeyConflict{0}}},
-       limits);
+  StateMachineLimits limits;
+  limits.rejected_puts = 2;
+  RunSteps({{0, Put("g.a", "early", 2), KeyConflict{0}},
+            {0, Put("g.a", "1", 0), KeyPut{1}},
+            {0, Put("g.b", "b", 3), KeyConflict{0}},
+            {0, Put("g.a", "early", 2), KeyConflict{1}},   // again: not kept twice
+            {0, Put("g.a", "much", 9), OutcomeExpired{}},  // no more can be kept
+            {0, Put("g.a", "old", 0), KeyConflict{1}},     // needs no keeping
+            {0, Put("g.a", "2", 1), KeyPut{2}},
+            {0, Put("g.a", "early", 2), KeyConflict{2}},  // its revision has come
+            {0, Put("g.a", "3", 2), KeyPut{3}},           // another put's hasn't been refused
+            {0, Put("g.a", "early", 2), KeyConflict{3}},
+            {0, Put("g.a", "much", 9), KeyConflict{3}},  // its place is free again
+            {0, Put("g.b", "b", 3), KeyConflict{0}}},
+           limits);
 }
 
-struct Look {
+struct ReadCase {
   int second = 0;
   Revision after = 0;
   bool too_old = false;
@@ -197,32 +197,33 @@
 };
 
 BOOST_AUTO_TEST_CASE(a_watch_is_whole_or_too_old) {
-  Limits limits;
+  StateMachineLimits limits;
   limits.history = seconds(10);
   StateMachine machine(limits);
-  Play(machine,
-       {{0, Put("g.a", "1"), KeyPut{1}},
-        {1, Put("h.a", "1"), KeyPut{1}},
-        {2, Put("g.b", "2"), KeyPut{2}},
-        {4, Put("g.a", "3"), KeyPut{3}},
-        {4, Put("g.c", "4"), KeyPut{4}}},
-       limits);
-  const std::vector<Look> looks = {{9, 0, false, {}}, {9, 1, false, {2, 3, 4}}, {9, 3, false, {4}},
-                                   {9, 4, false, {}}, {9, 9, false, {}},        {11, 1, false, {2, 3, 4}},
-                                   {12, 1, true, {}}, {12, 2, false, {3, 4}},   {13, 3, false, {4}},
-                                   {14, 2, true, {}}, {14, 3, true, {}},        {14, 4, false, {}},
-                                   {14, 0, false, {}}};
-  for (const Look& look : looks) {
-    machine.Apply(seconds(look.second), TakeNumber{"time"});
+  RunSteps(machine,
+           {{0, Put("g.a", "1"), KeyPut{1}},
+            {1, Put("h.a", "1"), KeyPut{1}},
+            {2, Put("g.b", "2"), KeyPut{2}},
+            {4, Put("g.a", "3"), KeyPut{3}},
+            {4, Put("g.c", "4"), KeyPut{4}}},
+           limits);
+  const std::vector<ReadCase> cases = {{9, 0, false, {}}, {9, 1, false, {2, 3, 4}}, {9, 3, false, {4}},
+                                       {9, 4, false, {}}, {9, 9, false, {}},        {11, 1, false, {2, 3, 4}},
+                                       {12, 1, true, {}}, {12, 2, false, {3, 4}},   {13, 3, false, {4}},
+                                       {14, 2, true, {}}, {14, 3, true, {}},        {14, 4, false, {}},
+                                       {14, 0, false, {}}};
+  for (const ReadCase& each_case : cases) {
+    machine.Apply(seconds(each_case.second), TakeNumber{"time"});
     StateMachine restored(limits);
     BOOST_REQUIRE(restored.Restore(machine.Snapshot()));
     for (const StateMachine* each : {&machine, &restored}) {
-      const auto seen = each->EventsAfter("g.", look.after);
+      const auto seen = each->EventsAfter("g.", each_case.after);
       std::vector<Revision> revisions;
-      for (const Event& event : seen.events) revisions.push_back(event.revision);
+      for (const PutEvent& event : seen.events) revisions.push_back(event.revision);
       BOOST_TEST(seen.revision == 4u);
-      BOOST_TEST(seen.too_old == look.too_old, "second " << look.second << " after " << look.after);
-      BOOST_TEST(revisions == look.events, boost::test_tools::per_element());
+      BOOST_TEST(seen.too_old == each_case.too_old,
+                 "second " << each_case.second << " after " << each_case.after);
+      BOOST_TEST(revisions == each_case.events, boost::test_tools::per_element());
     }
   }
   BOOST_TEST(machine.EventsAfter("none.", 3).revision == 0u);
@@ -231,40 +232,40 @@
 }
 
 BOOST_AUTO_TEST_CASE(beyond_a_bound_nothing_is_done) {
-  Limits limits;
+  StateMachineLimits limits;
   limits.locks = limits.numbers = limits.keys = 1;
   limits.key_bytes = limits.history_bytes = 250;  // three puts of 67 to 69 bytes fit into the history
   limits.history = seconds(10);
   StateMachine machine(limits);
-  Play(machine,
-       {{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
-        {0, TakeNumber{"n"}, NumberTaken{1}},
-        {0, Put("g.a", "1"), KeyPut{1}},
-        {0, Put("g.a", "2"), KeyPut{2}},
-        {0, Put("g.a", "3"), KeyPut{3}}},
-       limits);
+  RunSteps(machine,
+           {{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
+            {0, TakeNumber{"n"}, NumberTaken{1}},
+            {0, Put("g.a", "1"), KeyPut{1}},
+            {0, Put("g.a", "2"), KeyPut{2}},
+            {0, Put("g.a", "3"), KeyPut{3}}},
+           limits);
   const std::string before = machine.Snapshot();
-  Play(machine,
-       {{0, AcquireLock{"m", "a", 100}, NoRoom{}},
-        {0, TakeNumber{"m"}, NoRoom{}},
-        {0, Put("g.b", "4"), NoRoom{}},  // a second key
-        {0, Put("h.a", "4"), NoRoom{}},  // a second group
-        {0, Put("g.a", "5"), NoRoom{}},  // the history
-        {0, Put("g.a", std::string(300, 'x').c_str()), NoRoom{}},
-        {0, Put("g.a", "x", 1), KeyConflict{3}},
-        {0, Put("g.a", "2"), KeyPut{2}}},
-       limits);
+  RunSteps(machine,
+           {{0, AcquireLock{"m", "a", 100}, LimitReached{}},
+            {0, TakeNumber{"m"}, LimitReached{}},
+            {0, Put("g.b", "4"), LimitReached{}},  // a second key
+            {0, Put("h.a", "4"), LimitReached{}},  // a second group
+            {0, Put("g.a", "5"), LimitReached{}},  // the history
+            {0, Put("g.a", std::string(300, 'x').c_str()), LimitReached{}},
+            {0, Put("g.a", "x", 1), KeyConflict{3}},
+            {0, Put("g.a", "2"), KeyPut{2}}},
+           limits);
   BOOST_TEST(machine.Snapshot() == before);
-  Play(machine,
-       {{0, TakeNumber{"n"}, NumberTaken{2}},
-        {0, ReleaseLock{"l", "a", 1}, Done{}},
-        {0, AcquireLock{"m", "a", 100}, LockGranted{2}},
-        {10, Put("g.a", "5"), KeyPut{4}}},
-       limits);
+  RunSteps(machine,
+           {{0, TakeNumber{"n"}, NumberTaken{2}},
+            {0, ReleaseLock{"l", "a", 1}, Done{}},
+            {0, AcquireLock{"m", "a", 100}, LockGranted{2}},
+            {10, Put("g.a", "5"), KeyPut{4}}},
+           limits);
 }
 
 // A few commands of all kinds, at a rising time.
-std::vector<std::pair<LoggedTime, Command>> SomeCommands(std::uint64_t seed, std::size_t count) {
+std::vector<std::pair<LoggedTime, Command>> RandomCommands(std::uint64_t seed, std::size_t count) {
   std::mt19937_64 random(seed);
   const auto pick = [&](std::uint64_t most) { return random() % most; };
   std::vector<std::pair<LoggedTime, Command>> commands;
@@ -300,18 +301,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(machines_with_and_without_snapshots_stay_the_same) {
-  Limits limits;
+  StateMachineLimits limits;
   limits.history = seconds(5);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     StateMachine straight(limits), restored(limits);
     std::size_t count = 0;
-    for (const auto& [at, command] : SomeCommands(seed, 400)) {
+    for (const auto& [at, command] : RandomCommands(seed, 400)) {
       if (++count % 7 == 0) {
         StateMachine next(limits);
         BOOST_REQUIRE(next.Restore(restored.Snapshot()));
         restored = next;
       }
-      BOOST_TEST(Show(straight.Apply(at, command)) == Show(restored.Apply(at, command)));
+      BOOST_TEST(Describe(straight.Apply(at, command)) == Describe(restored.Apply(at, command)));
       BOOST_REQUIRE(straight.Snapshot() == restored.Snapshot());
       BOOST_REQUIRE(DecodeCommand(Encode(command)) == command);
     }
@@ -319,10 +320,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(damaged_bytes_are_no_snapshot_or_one_that_works) {
-  Limits limits;
+  StateMachineLimits limits;
   limits.history = seconds(5);
   StateMachine machine(limits);
-  const auto commands = SomeCommands(3, 60);
+  const auto commands = RandomCommands(3, 60);
   for (const auto& [at, command] : commands) machine.Apply(at, command);
   const std::string whole = machine.Snapshot();
   for (std::size_t length = 0; length < whole.size(); ++length) {
@@ -343,7 +344,7 @@
       BOOST_REQUIRE(other.Snapshot() == whole);
       continue;
     }
-    for (const auto& [at, command] : SomeCommands(7, 20)) other.Apply(commands.back().first + at, command);
+    for (const auto& [at, command] : RandomCommands(7, 20)) other.Apply(commands.back().first + at, command);
   }
   BOOST_TEST(refused > 2'000u);
 }
--- a/tests/coordination/watch_table_test.cpp
+++ b/tests/coordination/watch_table_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr Time kStart{std::chrono::hours(1)};
 
-Ids IdsOf(const std::vector<WatchTable::Waiter>& waiters) {
+Ids IdsOf(const std::vector<WatchTable::Watch>& waiters) {
   Ids ids;
   for (const auto& waiter : waiters) ids.push_back(waiter.id);
   std::sort(ids.begin(), ids.end());
@@ -44,8 +44,8 @@
   table.Add(kStart, 2, "h.", 4, milliseconds(100));
   table.Add(kStart, 3, "g.", 9, milliseconds(200));
   BOOST_TEST((table.NextDue() == kStart + milliseconds(100)));
-  BOOST_TEST(table.TakeDue(kStart + milliseconds(99)).empty());
-  const auto due = table.TakeDue(kStart + milliseconds(200));
+  BOOST_TEST(table.TakeExpired(kStart + milliseconds(99)).empty());
+  const auto due = table.TakeExpired(kStart + milliseconds(200));
   BOOST_REQUIRE_EQUAL(due.size(), 2u);
   BOOST_TEST(due[0].id == 2u);
   BOOST_TEST(due[1].id == 3u);
@@ -57,7 +57,7 @@
 BOOST_AUTO_TEST_CASE(bounds) {
   WatchTable::Limits limits;
   limits.watches = 2;
-  limits.longest_wait = milliseconds(50);
+  limits.max_wait = milliseconds(50);
   WatchTable table(limits);
   BOOST_TEST(table.Add(kStart, 1, "g.", 4, std::chrono::hours(9)));
   BOOST_TEST((table.NextDue() == kStart + milliseconds(50)));
@@ -76,7 +76,7 @@
 
 // Beside a table that is nothing but a list.
 BOOST_AUTO_TEST_CASE(thousands_come_and_go_as_in_a_list) {
-  struct Listed {
+  struct ReferenceWatch {
     std::string group;
     Revision after = 0;
     Time due{};
@@ -84,15 +84,15 @@
   std::mt19937_64 random(7);
   const auto below = [&](std::uint64_t n) { return random() % n; };
   WatchTable table({});
-  std::map<std::uint64_t, Listed> list;
+  std::map<std::uint64_t, ReferenceWatch> list;
   std::map<std::string, Revision> revisions;
   Time now = kStart;
   std::uint64_t next_id = 1;
   std::size_t most = 0;
-  const auto take = [&](const auto& whether) {
+  const auto take = [&](const auto& matches) {
     Ids ids;
     for (const auto& [id, each] : list)
-      if (whether(each)) ids.push_back(id);
+      if (matches(each)) ids.push_back(id);
     for (const std::uint64_t id : ids) list.erase(id);
     return ids;
   };
@@ -111,17 +111,18 @@
     } else if (what < 88) {
       const Revision revision = ++revisions[group];
       const Ids ready =
-          take([&](const Listed& each) { return each.group == group && each.after < revision; });
+          take([&](const ReferenceWatch& each) { return each.group == group && each.after < revision; });
       BOOST_REQUIRE(IdsOf(table.TakeReady(group, revision)) == ready);
     } else {
       now += milliseconds(below(10));
-      BOOST_REQUIRE(IdsOf(table.TakeDue(now)) == take([&](const Listed& each) { return each.due <= now; }));
+      BOOST_REQUIRE(IdsOf(table.TakeExpired(now)) ==
+                    take([&](const ReferenceWatch& each) { return each.due <= now; }));
     }
     BOOST_REQUIRE_EQUAL(table.size(), list.size());
     most = std::max(most, list.size());
   }
   BOOST_TEST(most > 2000u);
-  BOOST_TEST(IdsOf(table.TakeAll()) == take([](const Listed&) { return true; }),
+  BOOST_TEST(IdsOf(table.TakeAll()) == take([](const ReferenceWatch&) { return true; }),
              boost::test_tools::per_element());
 }
 
--- a/tests/system/coordination_calls_test.cpp
+++ b/tests/system/coordination_calls_test.cpp
@@ -72,7 +72,7 @@
   CoordinationCalls calls{*this, options};
 };
 
-coordination::Reply Number(std::uint64_t value) { return Result(NumberTaken{value}); }
+coordination::Reply Number(std::uint64_t value) { return CommandResult(NumberTaken{value}); }
 
 BOOST_AUTO_TEST_CASE(a_hint_leads_to_the_leader_and_the_next_call_goes_there_first) {
   Gateway gateway;
@@ -82,7 +82,7 @@
   BOOST_TEST(gateway.last() == 3u);
   gateway.Reply(3, 1, Number(5));
   BOOST_REQUIRE(gateway.EndOf(1) == End::kReply);
-  BOOST_TEST(std::get<NumberTaken>(std::get<Result>(*gateway.answers.at(1).reply)).value == 5u);
+  BOOST_TEST(std::get<NumberTaken>(std::get<CommandResult>(*gateway.answers.at(1).reply)).value == 5u);
   gateway.Begin(2);
   BOOST_TEST(gateway.last() == 3u);
 }
@@ -143,10 +143,10 @@
   Gateway gateway;
   gateway.Begin(1);
   gateway.Begin(2);
-  for (const std::uint64_t number : {1u, 2u}) gateway.Reply(1, number, Unclear{});
+  for (const std::uint64_t number : {1u, 2u}) gateway.Reply(1, number, OutcomeUnknown{});
   gateway.Reply(2, 1, NotServed{});
   gateway.Reply(3, 1, NotServed{});
-  gateway.Reply(2, 2, Result(NoRoom{}));
+  gateway.Reply(2, 2, CommandResult(LimitReached{}));
   BOOST_TEST((gateway.EndOf(2) == End::kUnclear));
   gateway.Pass(milliseconds(900));
   BOOST_TEST((gateway.EndOf(1) == End::kUnclear));
@@ -155,7 +155,7 @@
 BOOST_AUTO_TEST_CASE(no_room_for_the_only_copy_is_no_room) {
   Gateway gateway;
   gateway.Begin(1);
-  gateway.Reply(1, 1, Result(NoRoom{}));
+  gateway.Reply(1, 1, CommandResult(LimitReached{}));
   BOOST_TEST((gateway.EndOf(1) == End::kNoRoom));
 }
 
@@ -191,7 +191,7 @@
   gateway.calls.OnLeader(gateway.now, 7, "c");  // told once more
   gateway.calls.OnLeader(gateway.now, 6, "b");  // of an earlier term
   BOOST_TEST(gateway.asked.size() == 2u);
-  gateway.Reply(1, 1, Unclear{});
+  gateway.Reply(1, 1, OutcomeUnknown{});
   gateway.Reply(3, 1, Number(9));
   BOOST_TEST((gateway.EndOf(1) == End::kReply));
 }
@@ -268,7 +268,7 @@
   gateway.Pass(milliseconds(800));
   BOOST_REQUIRE_EQUAL(gateway.asked.size(), 3u);
   BOOST_TEST(std::get<WatchGroup>(gateway.asked[2].call).wait_ms == 0u);
-  gateway.Reply(3, 1, Watched{{}, 4});
+  gateway.Reply(3, 1, WatchResult{{}, 4});
   BOOST_TEST((gateway.EndOf(1) == End::kReply));
 }
 
@@ -279,7 +279,7 @@
   gateway.calls.Forget(1);
   gateway.calls.Forget(1);
   BOOST_TEST(gateway.forgotten.size() == 2u);
-  gateway.Reply(1, 1, Watched{{}, 4});
+  gateway.Reply(1, 1, WatchResult{{}, 4});
   BOOST_TEST(gateway.answers.empty());
 }
 
@@ -368,10 +368,10 @@
   void Reply(std::size_t i, bool unclear) {
     copies_[i].replied = true;
     const Sent copy = copies_[i];
-    coordination::Reply reply = Result(NumberTaken{1});
-    if (unclear) reply = Unclear{};
+    coordination::Reply reply = CommandResult(NumberTaken{1});
+    if (unclear) reply = OutcomeUnknown{};
     if (copy.state == Copy::kRefused) reply = NotServed{copy.stream % 2 == 0 ? "a" : ""};
-    if (copy.state == Copy::kNoRoom) reply = Result(NoRoom{});
+    if (copy.state == Copy::kNoRoom) reply = CommandResult(LimitReached{});
     calls_.OnReply(now_, copy.stream, 1, std::move(reply));
   }
   void BreakOrMend(std::size_t member) {
--- a/tests/system/coordination_history_test.cpp
+++ b/tests/system/coordination_history_test.cpp
@@ -222,7 +222,7 @@
     applications.Stop();
     if (wipes_at_the_end) CloseWithFault();
     const double closing = scene_.Seconds();
-    applications.AskAll(kClosingPatience);
+    applications.ProbeAllObjects(kClosingPatience);
     (void)scene_.Until([&] { return Answered(closing); }, kClosingPatience + 1.5);
     BOOST_TEST_MESSAGE("seed " << seed_ << ": first answer after " << began << " s, all answered "
                                << scene_.Seconds() - closing << " s after the end");
--- a/tests/system/coordination_http_test.cpp
+++ b/tests/system/coordination_http_test.cpp
@@ -40,7 +40,7 @@
 }
 
 HttpAnswer Encoded(Reply reply) { return EncodeAnswer({End::kReply, std::move(reply)}); }
-HttpAnswer EncodedResult(Result result) { return Encoded(Reply(std::move(result))); }
+HttpAnswer EncodedResult(CommandResult result) { return Encoded(Reply(std::move(result))); }
 
 void CheckAnswer(const HttpAnswer& answer, int status, const std::string& body) {
   BOOST_TEST(answer.status == status);
@@ -152,7 +152,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(names_have_their_bounds) {
-  const std::string longest(kMaxName, 'n'), longer(kMaxName + 1, 'n');
+  const std::string longest(kMaxNameBytes, 'n'), longer(kMaxNameBytes + 1, 'n');
   BOOST_TEST((Decoded("POST", "/v1/numbers/" + longest) == Call(TakeNumber{longest})));
   const std::string body = R"({"holder":"h","hold_ms":1})";
   CheckRefused(413, "name: too long", "POST", "/v1/numbers/" + longer);
@@ -170,7 +170,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(bodies_and_values_have_their_bounds) {
-  const std::string longest(kMaxValue, 'v');
+  const std::string longest(kMaxValueBytes, 'v');
   BOOST_TEST((Decoded("POST", "/v1/cells/g.a/replace", R"({"value":")" + longest + "\"}") ==
               Call(PutKey{"g.a", longest, std::nullopt})));
   CheckRefused(400, "value: too long", "POST", "/v1/cells/g.a/replace", R"({"value":")" + longest + "v\"}");
@@ -191,20 +191,20 @@
   CheckAnswer(EncodedResult(KeyPut{931}), 200, R"({"revision":931})");
   CheckAnswer(EncodedResult(KeyConflict{922}), 412, R"({"revision":922})");
   CheckAnswer(EncodedResult(KeyConflict{0}), 412, R"({"revision":0})");
-  CheckAnswer(EncodedResult(NoRoom{}), 429, "{}");
-  CheckAnswer(Encoded(KeyRead{"5c0e7a21d94b36f8", 931}), 200,
+  CheckAnswer(EncodedResult(LimitReached{}), 429, "{}");
+  CheckAnswer(Encoded(ReadResult{"5c0e7a21d94b36f8", 931}), 200,
               R"({"value":"5c0e7a21d94b36f8","revision":931})");
-  CheckAnswer(Encoded(KeyRead{}), 404, "{}");
-  CheckAnswer(Encoded(Watched{{{"g1.2d", "5c0e7a21d94b36f8", 931}}, 934}), 200,
+  CheckAnswer(Encoded(ReadResult{}), 404, "{}");
+  CheckAnswer(Encoded(WatchResult{{{"g1.2d", "5c0e7a21d94b36f8", 931}}, 934}), 200,
               R"({"events":[{"name":"g1.2d","value":"5c0e7a21d94b36f8","revision":931}],"revision":934})");
-  CheckAnswer(Encoded(Watched{{}, 934}), 200, R"({"events":[],"revision":934})");
-  CheckAnswer(Encoded(HistoryGone{}), 410, "{}");
+  CheckAnswer(Encoded(WatchResult{{}, 934}), 200, R"({"events":[],"revision":934})");
+  CheckAnswer(Encoded(HistoryExpired{}), 410, "{}");
 }
 
 // Neither 412, 429 nor 503, which promise something.
 BOOST_AUTO_TEST_CASE(what_is_unclear_promises_nothing) {
-  CheckAnswer(EncodedResult(OutcomeForgotten{}), 504, "{}");
-  CheckAnswer(Encoded(Unclear{}), 504, "{}");
+  CheckAnswer(EncodedResult(OutcomeExpired{}), 504, "{}");
+  CheckAnswer(Encoded(OutcomeUnknown{}), 504, "{}");
   CheckAnswer(EncodeAnswer({End::kUnclear, std::nullopt}), 504, "{}");
   CheckAnswer(EncodeAnswer({End::kNothingDone, std::nullopt}), 503, "{}");
   CheckAnswer(EncodeAnswer({End::kNoRoom, std::nullopt}), 429, "{}");
@@ -215,7 +215,7 @@
   for (const std::uint64_t value :
        {999'999'999'999'999u, 1'000'000'000'000'001u, 9'007'199'254'740'991u, 18'446'744'073'709'551'615u})
     CheckAnswer(EncodedResult(NumberTaken{value}), 200, "{\"value\":" + std::to_string(value) + "}");
-  CheckAnswer(Encoded(KeyRead{"a\"b\\c/\xc3\xa4", 1}), 200,
+  CheckAnswer(Encoded(ReadResult{"a\"b\\c/\xc3\xa4", 1}), 200,
               "{\"value\":\"a\\\"b\\\\c/\xc3\xa4\",\"revision\":1}");
 }
 
