--- a/src/coordination/call.hpp
+++ b/src/coordination/call.hpp
@@ -1,4 +1,5 @@
-// Calls of applications as gateways pass them on to the leader, and its replies. Values; msgpack on the link.
+// Calls of applications, which gateways forward to the leader, and its replies. Encoded with msgpack between
+// gateways.
 #pragma once
 
 #include <chrono>
@@ -14,38 +15,45 @@
 
 namespace curlewdoor::coordination {
 
+// A linearizable read of a key.
 struct ReadKey {
   std::string key;
   bool operator==(const ReadKey&) const = default;
 };
+// Waits up to `wait_ms` for puts of a group after a revision.
 struct WatchGroup {
-  std::string group;  // the dot included
+  std::string group;  // including the dot
   Revision after = 0;
   std::uint32_t wait_ms = 0;
   bool operator==(const WatchGroup&) const = default;
 };
-// ExpireLock is none of them.
+// ExpireLock is proposed by the leader only and is not a call.
 using Call = std::variant<AcquireLock, RenewLock, ReleaseLock, TakeNumber, PutKey, ReadKey, WatchGroup>;
 
+// The result of ReadKey.
 struct ReadResult {
   std::string value;
-  Revision revision = 0;  // 0: there is no such key
+  Revision revision = 0;  // 0: the key does not exist
   bool operator==(const ReadResult&) const = default;
 };
+// The result of WatchGroup.
 struct WatchResult {
   std::vector<PutEvent> events;
   Revision revision = 0;
   bool operator==(const WatchResult&) const = default;
 };
-struct HistoryExpired {  // 410
+// Puts after the requested revision were dropped from the history (HTTP 410).
+struct HistoryExpired {
   bool operator==(const HistoryExpired&) const = default;
 };
-// Nothing was done and nothing will be: this member doesn't lead, or has no room.
+// The call has no effect, now or later: this member does not lead, cannot read its state, or has too many
+// pending calls.
 struct NotServed {
-  std::string leader;  // its name, where it is known
+  std::string leader;  // its name, if known
   bool operator==(const NotServed&) const = default;
 };
-// The command may take effect, or may have: leadership was lost meanwhile, or its outcome is forgotten.
+// The command may have taken effect or may still do so: leadership was lost while it was pending, or its
+// outcome is no longer known.
 struct OutcomeUnknown {
   bool operator==(const OutcomeUnknown&) const = default;
 };
--- a/src/coordination/command_fields.hpp
+++ b/src/coordination/command_fields.hpp
@@ -1,4 +1,5 @@
-// The fields of commands and results, in their order in the log and on the link (packing.hpp).
+// The fields of commands and results, in the order of their encoding in the log and between gateways
+// (packing.hpp).
 #pragma once
 
 #include <tuple>
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -128,7 +128,7 @@
   return {another_leads ? leader->life.node : std::string()};
 }
 
-// ---- What the replica tells ----
+// ---- Output of the replica ----
 
 void Coordinator::HandleReplicaOutput(Time now, ReplicaOutput& replica_output, CoordinatorOutput& out) {
   if (replica_output.snapshot && !HasFault(Fault::kSnapshotNotRestored))
@@ -149,12 +149,13 @@
 
 void Coordinator::RestoreSnapshot(const std::string& snapshot, std::vector<std::string>& log_lines) {
   snapshot_unreadable_ = !state_.Restore(snapshot);
-  if (snapshot_unreadable_) log_lines.push_back("can't read a snapshot: answers nothing");
+  if (snapshot_unreadable_)
+    log_lines.push_back("cannot restore the snapshot; calls are not served until a readable one arrives");
 }
 
 void Coordinator::ApplyEntry(Time now, const CommittedEntry& entry, CoordinatorOutput& out) {
   const auto command = DecodeCommand(entry.command);
-  if (!command) return;  // of a later version: no replica of this one knows it
+  if (!command) return;  // from a later version; no replica of this version can apply it
   const CommandResult result = state_.Apply(entry.logged_time, *command);
   const auto* put = std::get_if<PutKey>(&*command);
   if (put != nullptr && std::holds_alternative<KeyPut>(result))
@@ -171,14 +172,14 @@
   pending_commands_.erase(pending);
   if (call.term == entry.term) {
     out.replies.emplace_back(call.id, ToReply(result));
-  } else {  // another leader's entry stands in its place
+  } else {  // another leader's entry took its index
     out.replies.emplace_back(call.id, OutcomeUnknown{});
   }
 }
 
 // ---- Holds ----
 
-// The end of a hold as it is by now, in the state.
+// Updates a lock's deadline from its hold in the state.
 void Coordinator::UpdateHoldDeadline(Time now, const std::string& lock) {
   const auto held_lock = state_.holds().find(lock);
   if (held_lock == state_.holds().end()) {
@@ -198,7 +199,7 @@
                    same_hold ? std::max(hold_deadline.deadline, deadline) : deadline, false};
 }
 
-// Nothing is known of when a hold began under an earlier leader, but that it was before now.
+// When a hold started under an earlier leader is unknown, only that it was before now.
 void Coordinator::StartServing(Time now) {
   hold_deadlines_.clear();
   for (const auto& [lock, hold] : state_.holds()) UpdateHoldDeadline(now, lock);
@@ -214,7 +215,7 @@
   }
 }
 
-// Commands that wait may be committed by the next leader, or not; reads were only questions.
+// The next leader may or may not commit the pending commands; pending reads have no effect.
 void Coordinator::StopServing(CoordinatorOutput& out) {
   const Reply unclear =
       HasFault(Fault::kRefusedAfterProposal) ? Reply(NotServedReply()) : Reply(OutcomeUnknown{});
--- a/src/coordination/coordinator.hpp
+++ b/src/coordination/coordinator.hpp
@@ -1,11 +1,12 @@
-// A member's part in coordination: its replica of the log, its state machine, and, while it leads, the calls
-// that wait: commands for their entries, reads for a majority's word, watches for events, and the ends of
-// holds. Pure.
+// A member of the coordination service: its replica of the log, its state machine and, while it leads, the
+// pending calls (commands wait for their entries, reads for a majority's confirmation, watches for events)
+// and the deadlines of holds. Does no I/O.
 //
-// Holds: the caller counts hold_ms from its sending. Here a hold ends hold_ms after the member that leads has
-// applied it, by this process's steady clock, so later than the caller's. A new leader knows of no earlier
-// time, and begins each hold anew when it begins to serve. The end itself is a command in the log, which does
-// nothing if the hold was renewed before it.
+// A hold is the time for which a lock belongs to its holder. The caller counts hold_ms from when it sent the
+// call. Here a hold ends hold_ms after the leader has applied the command, by this process's steady clock,
+// and therefore later than for the caller. A new leader knows no earlier start, so it restarts each hold when
+// it starts to serve. The end itself is a command in the log, which does nothing if the hold was renewed
+// before.
 #pragma once
 
 #include <cstdint>
@@ -22,44 +23,48 @@
 
 namespace curlewdoor::coordination {
 
+// Limits of a member.
 struct CoordinatorOptions {
   ReplicaOptions replica;
   StateMachineLimits limits;
   std::uint64_t compact_after_entries = 2048;  // entries since the last snapshot
   std::size_t compact_after_bytes = 512u << 10;
-  std::size_t max_pending_calls = 4096;  // commands and reads that wait
+  std::size_t max_pending_calls = 4096;  // commands and reads
   WatchTable::Limits watches;
-  std::size_t max_watch_bytes = 64u << 10;  // of names and values in one answer; the rest comes with the next
-  // For tests of the tests: a coordinator that does something wrong.
+  std::size_t max_watch_bytes = 64u << 10;  // names and values in one reply; the next watch returns the rest
+  // Injected faults, which the tests must detect.
   enum class Fault : std::uint8_t {
     kNone,
-    kNewLeaderExpiresHolds,    // a hold of an earlier leader is over at once
-    kHoldExpiresEarly,         // a hold ends earlier than the caller's own count
-    kRenewalIgnored,           // a hold's end is counted from its begin
-    kRefusedAfterProposal,     // NotServed where a command may yet be committed
-    kReadWithoutConfirmation,  // a leader answers from what it has
-    kReadAtFollower,           // anyone answers from what it has
-    kWatchReturnsNewestOnly,   // a watch is told the newest event alone
-    kWatchRevisionAhead,       // a watch's answer names a revision above its events
-    kSnapshotNotRestored       // a leader's snapshot is taken for the log, not for the state
+    kNewLeaderExpiresHolds,    // ends the holds of an earlier leader at once
+    kHoldExpiresEarly,         // a hold ends before the time that its caller counts
+    kRenewalIgnored,           // a renewal does not extend the hold
+    kRefusedAfterProposal,     // NotServed for a command that may still be committed
+    kReadWithoutConfirmation,  // a leader answers reads without confirming its leadership
+    kReadAtFollower,           // any member answers reads from its own state
+    kWatchReturnsNewestOnly,   // a watch returns only the newest event
+    kWatchRevisionAhead,       // a watch returns a revision above its events
+    kSnapshotNotRestored       // a received snapshot is installed in the log, but not in the state machine
   } fault = Fault::kNone;
 };
 
-// Names a call until it is answered; the owner's.
+// Identifies a call until it is answered. Chosen by the caller of Coordinator.
 using CallId = std::uint64_t;
 
+// What the caller of a Coordinator must do.
 struct CoordinatorOutput {
   std::vector<OutgoingMessage> messages;
-  std::optional<RecordBatch> write;  // then OnWritten()
+  std::optional<RecordBatch> write;  // to be followed by OnWritten()
   std::vector<std::pair<CallId, Reply>> replies;
-  bool leader_changed = false;  // leader() is another one
+  bool leader_changed = false;  // the leader has changed, or this one starts to serve
   std::vector<std::string> log_lines;
 };
 
+// One member. See the top of this file.
 class Coordinator {
  public:
   Coordinator(Member self, ReplicaState from_disk, CoordinatorOptions options, std::uint64_t seed);
 
+  // As in Replica.
   void Bootstrap(Time now, std::vector<Member> voters, CoordinatorOutput& out);
   void SetTargetVoters(Time now, std::uint64_t epoch, std::vector<Member> members, CoordinatorOutput& out);
   void OnMessage(Time now, const ReplicaMessage& message, CoordinatorOutput& out);
@@ -67,11 +72,11 @@
   void Tick(Time now, CoordinatorOutput& out);  // at NextDue(), and about every 50 ms
   std::optional<Time> NextDue() const;
 
-  // Ends in one reply with this id, at once or later; a command's or a read's within a few seconds, unless
-  // Forget() comes before.
+  // Leads to one reply with this id, at once or later, unless Forget() is called first. A command or a read
+  // is answered within a few seconds.
   void OnCall(Time now, CallId id, const Call& call, CoordinatorOutput& out);
-  void Forget(CallId id);  // nobody waits for its reply; a command takes effect all the same
-  // The process is about to end: hands leadership on. leaving() stays; done once it leads no more.
+  void Forget(CallId id);  // drops the reply; a command still takes effect
+  // Transfers leadership because the process is about to end. Complete once this member no longer leads.
   void BeginShutdown(Time now, CoordinatorOutput& out);
 
   const Replica& replica() const { return replica_; }
@@ -79,11 +84,11 @@
   std::size_t pending() const { return pending_commands_.size() + pending_reads_.size() + watches_.size(); }
 
  private:
-  struct PendingCommand {  // a command, for the entry at its index
+  struct PendingCommand {  // a command that waits for the entry at its index
     CallId id = 0;
     std::uint64_t term = 0;
   };
-  struct HoldDeadline {  // until when a hold lasts here at least
+  struct HoldDeadline {  // the earliest time at which this leader ends a hold
     FencingToken fence = 0;
     std::uint64_t renewals = 0;
     Time deadline{};
@@ -111,13 +116,14 @@
   const CoordinatorOptions options_;
   Replica replica_;
   StateMachine state_;
-  std::map<std::uint64_t, PendingCommand> pending_commands_;  // by index of the log
-  std::unordered_map<CallId, Call> pending_reads_;  // ReadKey and WatchGroup that wait for a majority
+  std::map<std::uint64_t, PendingCommand> pending_commands_;  // by log index
+  std::unordered_map<CallId, Call>
+      pending_reads_;  // ReadKey and WatchGroup awaiting a majority's confirmation
   WatchTable watches_;
-  std::map<std::string, HoldDeadline> hold_deadlines_;  // by lock, while it serves
+  std::map<std::string, HoldDeadline> hold_deadlines_;  // by lock, while serving
   bool shutting_down_ = false;
-  // The replica's snapshot can't be read here: the state is not the log's. It answers nothing and hands
-  // leadership on, until a snapshot comes that can be read.
+  // The replica's snapshot could not be restored, so the state does not match the log. The member serves no
+  // calls and transfers leadership away until it receives a readable snapshot.
   bool snapshot_unreadable_ = false;
 };
 
--- a/src/coordination/package.cmake
+++ b/src/coordination/package.cmake
@@ -1,4 +1,4 @@
-# Locks, numbers, keys and watches: the replicated log, its state machine, and a member's calls. Pure.
+# Locks, numbers, keys and watches: the replicated log, its state machine, and the calls of a member. No I/O.
 add_library(curlewdoor_coordination STATIC
   src/coordination/call.cpp src/coordination/command.cpp src/coordination/coordinator.cpp src/coordination/log.cpp
   src/coordination/replica.cpp src/coordination/replica_leader.cpp src/coordination/replica_message.cpp
@@ -10,7 +10,7 @@
 system_test(replica_test tests/coordination/replica_test.cpp curlewdoor_coordination)
 system_test(coordinator_test tests/coordination/coordinator_test.cpp curlewdoor_coordination)
 system_test(state_machine_test tests/coordination/state_machine_test.cpp curlewdoor_coordination)
-if(NOT CURLEWDOOR_SANITIZE)  # hundreds of thousands of states: too many for a sanitized build
+if(NOT CURLEWDOOR_SANITIZE)  # hundreds of thousands of states take too long in a sanitized build
   system_test(coordination_model_check_test tests/coordination/model_check_test.cpp curlewdoor_coordination)
 endif()
 system_test(replica_search_test tests/coordination/replica_search_test.cpp curlewdoor_coordination)
--- a/src/coordination/packing.hpp
+++ b/src/coordination/packing.hpp
@@ -1,7 +1,8 @@
-// Values to msgpack and back, by one list of fields for both ways: Fields(T&) gives a std::tie of them, found
-// beside T. A struct is an array of its fields, a variant its index and its value, an optional nil or its
-// value, text is binary. Fields of a later version stand behind and are passed over. Reading allocates no
-// more than a multiple of the bytes given, and throws std::exception for what is foreign.
+// Encodes values as msgpack and decodes them, with one list of fields for both directions: Fields(T&) returns
+// a std::tie of the fields and is found by argument-dependent lookup. A struct is an array of its fields, a
+// variant an array of its index and its value, an optional nil or its value, a string binary. Fields that a
+// later version appends are skipped. Decoding allocates at most a multiple of the input size and throws a
+// std::exception for malformed input.
 #pragma once
 
 #include <chrono>
@@ -25,10 +26,12 @@
 inline auto Fields(agreement::Life& v) { return std::tie(v.node, v.disk); }
 inline auto Fields(agreement::Member& v) { return std::tie(v.life, v.address); }
 
+// Thrown for input that does not have the expected type.
 struct MalformedBytes : std::runtime_error {
-  MalformedBytes() : std::runtime_error("foreign bytes") {}
+  MalformedBytes() : std::runtime_error("malformed msgpack input") {}
 };
 
+// Encodes one value.
 class Packer {
  public:
   explicit Packer(std::size_t size_hint) : buffer_(size_hint), packer_(buffer_) {}
@@ -158,6 +161,7 @@
   std::apply([&](auto&... each) { (DecodeValue(ElementOf(object, index++), each), ...); }, fields);
 }
 
+// Encodes `value`; `size_hint` is the initial buffer size.
 template <typename T>
 std::string Pack(const T& value, std::size_t size_hint = 128) {
   Packer packer(size_hint);
@@ -165,6 +169,7 @@
   return packer.Bytes();
 }
 
+// Returns nullopt unless `bytes` is exactly one valid value.
 template <typename T>
 std::optional<T> Unpack(std::string_view bytes) {
   constexpr std::size_t kMaxDepth = 12;
@@ -177,7 +182,7 @@
     T value;
     DecodeValue(handle.get(), value);
     return value;
-  } catch (const std::exception&) {  // ours, msgpack's own, and no memory
+  } catch (const std::exception&) {  // MalformedBytes, msgpack's own exceptions, and std::bad_alloc
     return std::nullopt;
   }
 }
--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -6,7 +6,7 @@
 namespace curlewdoor::coordination {
 namespace {
 
-constexpr auto kWriteRetryDelay = std::chrono::milliseconds(200);  // after a disk's refusal
+constexpr auto kWriteRetryDelay = std::chrono::milliseconds(200);  // after a failed write
 constexpr std::size_t kMaxPendingVotes = 64;
 
 }  // namespace
@@ -21,13 +21,13 @@
       commit_index_(log_.snapshot_index()),
       writing_index_(log_.last_index()),
       written_index_(log_.last_index()),
-      // Another life's snapshot may stand there.
+      // The disk may still hold the snapshot of another incarnation.
       snapshot_dirty_(!from_disk.found) {}
 
 const std::string& Replica::snapshot() const { return log_.snapshot(); }
 
 void Replica::Bootstrap(Time now, std::vector<Member> voters, ReplicaOutput& out) {
-  // It may have voted before: another one was founded earlier, and stood.
+  // This replica may already have voted: another member may have been bootstrapped, and stood, earlier.
   const bool known = !log_.voters().empty() || log_.last_index() > 0;
   if (known || voters.empty() || voters.size() > kMaxVoters) return;
   log_.Bootstrap(std::move(voters));
@@ -125,7 +125,7 @@
   std::visit([&](const auto& body) { Handle(now, m, body, out); }, m.body);
 }
 
-// Whoever hears a leader helps nobody against it, unless the leader itself has asked for that.
+// A replica that hears from a leader ignores vote requests, unless the leader itself started a transfer.
 bool Replica::IgnoresVoteRequest(Time now, const ReplicaMessage& m, const RequestVote& request) const {
   if (request.transfer || m.term < term_) return false;
   if (role_ == Role::kLeader) return serving();
@@ -225,8 +225,8 @@
   CountVotes(now, out);
 }
 
-// A candidate leads only once its disk holds its own vote: else it could stand in the same term once more
-// after a loss of power, win by the same votes, and lead the term twice.
+// A candidate becomes leader only after its own vote is synced. Otherwise it could stand in the same term
+// again after a power loss, win with the same votes, and lead the term twice.
 void Replica::CountVotes(Time now, ReplicaOutput& out) {
   if (role_ == Role::kCandidate) {
     if (written_version_ < hard_state_version_) return;
@@ -247,18 +247,18 @@
                      [&](const Member& each) { return each.life == life; });
 }
 
-// Also a voter whose removal isn't committed yet: a majority may want its log, and it votes for no shorter
-// one.
+// A voter whose removal is not committed yet may stand too: a majority may need its log, and it does not vote
+// for a less complete one.
 bool Replica::CanStandForElection() const {
   const std::vector<Member>& committed_voters = log_.VotersAt(commit_index_);
   return IsVoter(self_.life) || std::any_of(committed_voters.begin(), committed_voters.end(),
                                             [this](const Member& each) { return each.life == self_.life; });
 }
 
-// ---- Following ----
+// ---- Followers ----
 
 void Replica::Handle(Time now, const ReplicaMessage& m, const AppendEntries& append, ReplicaOutput& out) {
-  if (role_ == Role::kLeader) return;  // no other one has this term
+  if (role_ == Role::kLeader) return;  // a term has only one leader
   role_ = Role::kFollower;
   SetLeader(m.from, out);
   leader_last_heard_ = now;
@@ -273,7 +273,7 @@
   Send(m.from, AppendResponse{true, acknowledged_index_, append.round}, out);
 }
 
-// False: the log here has something else before these entries, and the leader was told where to look.
+// Returns false if the log does not match before these entries; the leader is sent the index to try next.
 bool Replica::AcceptEntries(const AppendEntries& append, ReplicaOutput& out) {
   const std::uint64_t previous = append.previous_index;
   const bool behind_snapshot = previous < log_.snapshot_index();
@@ -308,7 +308,7 @@
   return true;
 }
 
-// What the disk holds behind `last` counts no more, also where a write is under way.
+// Entries after `last` on the disk, or in a running write, no longer count as written.
 void Replica::OnLogTruncated(std::uint64_t last) {
   written_index_ = std::min(written_index_, last);
   writing_index_ = std::min(writing_index_, last);
@@ -317,7 +317,7 @@
   MarkHardStateChanged();
 }
 
-// Tells the leader what the disk has come to hold of its entries.
+// Sends the leader the newest index that is synced here, if it has advanced.
 void Replica::AcknowledgeEntries(ReplicaOutput& out) {
   const std::uint64_t synced = std::min(matched_index_, written_index_);
   if (!leader_ || synced <= acknowledged_index_) return;
@@ -355,7 +355,7 @@
   Send(m.from, InstallSnapshotResponse{install.index, received, install.round}, out);
 }
 
-// All of it is here. Entries behind it are kept only where they are known to follow it.
+// Installs a completely received snapshot. Entries after it are kept only if they are known to follow it.
 void Replica::AcceptSnapshot(Time, const ReplicaMessage&, const InstallSnapshot& install,
                              ReplicaOutput& out) {
   std::string bytes = std::move(incoming_->bytes);
@@ -379,12 +379,12 @@
   out.snapshot = std::move(bytes);
 }
 
-// ---- The disk ----
+// ---- Writes ----
 
 void Replica::StartWrite(Time now, ReplicaOutput& out) {
   const bool dirty = hard_state_version_ != written_version_ || dirty_from_ != 0 || snapshot_dirty_;
   if (writing_ || out.write || !dirty || now < write_retry_at_) return;
-  // A leader's entries gather with others until they are sent.
+  // A leader's entries are written when the batch is sent.
   if (flush_due_ && hard_state_version_ == written_version_ && !snapshot_dirty_) return;
   RecordBatch records =
       EncodeHardState(self_.life.disk, term_, voted_for_, log_.snapshot_index(), log_.last_index());
--- a/src/coordination/replica_leader.cpp
+++ b/src/coordination/replica_leader.cpp
@@ -1,4 +1,4 @@
-// Replica as a leader: replication, reads, and changes of voters.
+// The leader's part of Replica: replication, reads and membership changes.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -8,9 +8,9 @@
 namespace curlewdoor::coordination {
 namespace {
 
-constexpr std::uint64_t kMaxInFlightEntries = 1024;  // entries that are out to one peer without an answer
+constexpr std::uint64_t kMaxInFlightEntries = 1024;  // unanswered entries per peer
 constexpr auto kTransferTimeout = std::chrono::milliseconds(400);
-constexpr auto kDiskStallTimeout = std::chrono::milliseconds(1000);  // then leadership is handed on
+constexpr auto kDiskStallTimeout = std::chrono::milliseconds(1000);  // after which leadership is transferred
 
 }  // namespace
 
@@ -27,9 +27,9 @@
   time_base_ = log_.TimeAt(log_.last_index());
   time_base_taken_at_ = now;
   UpdatePeers(now);
-  out.log_lines.push_back("leads term " + std::to_string(term_) + " from entry " +
+  out.log_lines.push_back("became leader of term " + std::to_string(term_) + ", first entry " +
                           std::to_string(log_.last_index() + 1));
-  // Tells all followers the voters, also those that begin without any.
+  // The first entry of the term carries the voters, so that followers without a configuration learn it.
   first_of_term_ = log_.last_index() + 1;
   LogEntry first;
   first.voters = log_.voters();
@@ -40,7 +40,7 @@
 void Replica::StepDown(Time now, ReplicaOutput& out) {
   role_ = Role::kFollower;
   SetLeader(std::nullopt, out);
-  out.log_lines.push_back("leads term " + std::to_string(term_) + " no more");
+  out.log_lines.push_back("stopped leading term " + std::to_string(term_) + ": stepped down");
   out.lost_leadership = true;
   FailReads(out);
   peers_.clear();
@@ -92,7 +92,7 @@
   StartWrite(now, out);
 }
 
-// Nothing more is proposed meanwhile, so that a voter comes to have all.
+// Propose() refuses commands during a transfer, so that a voter can catch up completely.
 void Replica::TransferLeadership(Time now, ReplicaOutput& out) {
   if (role_ != Role::kLeader || transfer_deadline_) return;
   transfer_deadline_ = now + kTransferTimeout;
@@ -110,12 +110,13 @@
   });
   if (able == peers_.end()) return;
   transfer_sent_ = true;
-  out.log_lines.push_back("hands leadership to " + able->member.life.node);
+  out.log_lines.push_back("transferring leadership to " + able->member.life.node);
   Send(able->member, TimeoutNow{}, out);
 }
 
-// A leader's last word, so that the others needn't wait for their time: it is no voter any more, or hears
-// nobody but may be heard.
+// Asks the most up-to-date voter to stand for election, so that the others need not wait for their election
+// timeouts. Sent by a leader that stops leading because it was removed, or because it has lost contact with a
+// majority but may still be heard.
 void Replica::SendTimeoutNow(ReplicaOutput& out) const {
   const Peer* best = nullptr;
   for (const Peer& peer : peers_)
@@ -124,13 +125,13 @@
     out.messages.push_back({best->member, {self_, best->member.life, term_, TimeoutNow{}}});
 }
 
-// ---- Gathering and sending ----
+// ---- Batching and sending ----
 
 void Replica::ScheduleFlush(Time now) {
   if (!flush_due_) flush_due_ = now + options_.batch_delay;
 }
 
-// What has gathered goes out at once: reads by a round of questions, entries to the disk and to all.
+// Sends the current batch: reads as a heartbeat round, entries to the disk and to all peers.
 void Replica::Flush(Time now, ReplicaOutput& out) {
   flush_due_.reset();
   if (!batched_reads_.empty()) {
@@ -166,7 +167,7 @@
   ReconcileVoters(now, out);
 }
 
-// From where it is known to be, one message at a time until it answers.
+// Restarts after the last entry the peer is known to hold, one message at a time until it answers.
 void Replica::Resend(Time now, Peer& peer, ReplicaOutput& out) {
   peer.resend_backoff = std::min(2 * peer.resend_backoff, options_.resend_interval_max);
   peer.next = peer.match + 1;
@@ -206,7 +207,8 @@
 void Replica::SendHeartbeat(Time now, Peer& peer, ReplicaOutput& out) {
   const std::uint64_t known = std::max(peer.match, log_.snapshot_index());
   peer.last_sent = now;
-  if (peer.match < log_.snapshot_index()) {  // nothing that it holds is known: no place to begin from
+  if (peer.match <
+      log_.snapshot_index()) {  // the peer's log is unknown: there is no common entry to refer to
     Send(peer.member, AppendEntries{0, 0, 0, round_, {}}, out);
     return;
   }
@@ -240,7 +242,7 @@
   peer->last_heard = now;
   peer->round = std::max(peer->round, appended.round);
   if (!appended.ok) {
-    if (appended.index < peer->match || appended.index >= peer->next) return;  // an old one
+    if (appended.index < peer->match || appended.index >= peer->next) return;  // outdated
     peer->next = std::min(peer->next, appended.index + 1);
     return Probe(now, *peer, out);
   }
@@ -267,15 +269,16 @@
   ConfirmReads(out);
   if (!peer->installing || installed.index != log_.snapshot_index()) return;
   const bool complete = installed.offset >= log_.snapshot().size();
-  if (complete) return;  // it answers with Appended once its disk has it
+  if (complete) return;  // it sends AppendResponse once the snapshot is synced
   peer->sent_snapshot_index = installed.index;
   peer->snapshot_offset = installed.offset;
   SendSnapshotChunk(now, *peer, out);
 }
 
-// ---- Committing and reads ----
+// ---- Commit and reads ----
 
-// Only an entry of the own term is committed by its copies; those before it are committed with it.
+// Only an entry of the leader's own term is committed by counting copies; earlier entries are committed with
+// it.
 void Replica::AdvanceCommit(Time now, ReplicaOutput& out) {
   if (role_ != Role::kLeader) return;
   const bool was_serving = serving();
@@ -291,7 +294,7 @@
   const bool own_term = by_majority > commit_index_ && log_.TermAt(by_majority) == term_;
   if (own_term || HasFault(ReplicaOptions::Fault::kCommitOlderTerm)) Commit(by_majority, out);
   if (!was_serving && serving()) out.became_leader = true;
-  // A leader that is no voter any more leads until that is committed.
+  // A leader that removed itself from the voters leads until the removal is committed.
   if (log_.voters_index() <= commit_index_ && !IsVoter(self_.life)) {
     SendTimeoutNow(out);
     BecomeFollower(now, term_, out);
@@ -335,7 +338,7 @@
   });
 }
 
-// Peers are all voters and all that are to become voters.
+// Keeps one peer for each other voter and each member that is to become one.
 void Replica::UpdatePeers(Time now) {
   const auto is_needed = [&](const Life& life) {
     const auto same = [&](const Member& each) { return each.life == life; };
@@ -366,7 +369,8 @@
   return serving() && !transfer_deadline_ && log_.voters_index() <= commit_index_;
 }
 
-// One change at a time towards the target: a new voter that has nearly all first, else one that is to go.
+// Makes at most one change towards the target: adds a member that has nearly the whole log, otherwise removes
+// a voter that is not in the target.
 void Replica::ReconcileVoters(Time now, ReplicaOutput& out) {
   if (target_voters_.empty() || !CanChangeVoters()) return;
   std::vector<Member> voters = log_.voters();
@@ -386,11 +390,11 @@
     voters.push_back(member);
     return ChangeVoters(now, std::move(voters), out);
   }
-  if (catching_up) return;  // it comes first, so that there are never fewer copies than need be
+  if (catching_up) return;  // add it first, so that there are never fewer copies than necessary
   for (const Member& voter : log_.voters()) {
     const bool stays = std::any_of(target_voters_.begin(), target_voters_.end(),
                                    [&](const Member& each) { return each.life == voter.life; });
-    // While another one is still to come, only those go that are gone: a voter that lives is a copy.
+    // While a member is still missing, only unresponsive voters are removed: a reachable voter is a copy.
     const bool reachable = voter.life == self_.life || HeardRecently(now, voter.life);
     if (stays || (missing && reachable) || voters.size() <= 1) continue;
     std::erase_if(voters, [&](const Member& each) { return each.life == voter.life; });
--- a/src/coordination/replica_message.cpp
+++ b/src/coordination/replica_message.cpp
@@ -26,12 +26,12 @@
 
 constexpr std::uint32_t kRecordFormat = 1;
 
-// The record that every write holds.
+// The record that is part of every write.
 struct HardState {
   std::uint32_t format = kRecordFormat;
   std::uint64_t disk = 0;
   std::uint64_t term = 0;
-  agreement::Life voted_for;  // without a name: nobody
+  agreement::Life voted_for;  // without a name if there is no vote
   std::uint64_t snapshot_index = 0, last_index = 0;
 };
 auto Fields(HardState& v) {
--- a/src/coordination/replica_message.hpp
+++ b/src/coordination/replica_message.hpp
@@ -1,4 +1,5 @@
-// What replicas say to each other, and what each keeps on its disk. Encoded with msgpack; bounded.
+// The messages between replicas and the state that each stores on its disk. Encoded with msgpack; sizes are
+// bounded.
 #pragma once
 
 #include <chrono>
@@ -19,60 +20,67 @@
 using agreement::Member;
 
 inline constexpr std::size_t kMaxVoters = 31;
-inline constexpr std::size_t kMaxCommandBytes = 16u << 10;   // bytes of an entry
-inline constexpr std::size_t kMaxSnapshotBytes = 32u << 20;  // bytes
+inline constexpr std::size_t kMaxCommandBytes = 16u << 10;  // per entry
+inline constexpr std::size_t kMaxSnapshotBytes = 32u << 20;
 
+// One entry of the log: a command, a configuration, or neither.
 struct LogEntry {
   std::uint64_t term = 0;
   std::chrono::milliseconds logged_time{};
-  std::string command;         // empty: of the replica itself
-  std::vector<Member> voters;  // a configuration, where not empty
+  std::string command;         // empty for the replica's own entries
+  std::vector<Member> voters;  // a new configuration if not empty
   bool operator==(const LogEntry&) const = default;
 };
 
-// All that a replica has promised, and its log. Synced before anything is said that rests on it.
+// A replica's persistent state: its term, its vote and its log. Synced before any message that depends on it
+// is sent.
 struct ReplicaState {
-  bool found = false;  // records of this life were there
+  bool found = false;  // records of this incarnation exist
   std::uint64_t term = 0;
   std::optional<agreement::Life> voted_for;  // in `term`
   std::uint64_t snapshot_index = 0, snapshot_term = 0;
   std::chrono::milliseconds snapshot_time{};
-  std::vector<Member> snapshot_voters;  // the configuration at snapshot_index; empty: none is known
+  std::vector<Member> snapshot_voters;  // configuration at snapshot_index; empty if none is known
   std::string snapshot;
-  std::vector<LogEntry> entries;  // from snapshot_index + 1 on
+  std::vector<LogEntry> entries;  // starting at snapshot_index + 1
   bool operator==(const ReplicaState&) const = default;
 };
 
-// Reads the records that writes of a Replica of this life have left; nullopt: damaged. Without any, or with
-// those of another life: an empty state.
+// Reads the records that a Replica of the incarnation with this disk number has written. Returns an empty
+// state if there are none or if they belong to another incarnation, and nullopt if they are damaged.
 std::optional<ReplicaState> DecodeReplicaState(
     std::uint64_t disk, const std::function<std::optional<std::string>(const std::string& key)>& read);
-// Keys of all records begin with this.
+// Prefix of the keys of all records.
 inline constexpr std::string_view kReplicaKeyPrefix = "coordination/";
 
+// Raft RequestVote.
 struct RequestVote {
-  bool pre_vote = false;  // asks only; nothing is promised
-  bool transfer = false;  // asked for by the leader itself
+  bool pre_vote = false;  // a query without effect on the voter
+  bool transfer = false;  // the candidacy was requested by the leader
   std::uint64_t last_index = 0, last_term = 0;
   bool operator==(const RequestVote&) const = default;
 };
+// The answer to RequestVote.
 struct VoteResponse {
   bool pre_vote = false, granted = false;
   bool operator==(const VoteResponse&) const = default;
 };
-struct AppendEntries {  // without entries: a heartbeat
+// Raft AppendEntries; a heartbeat if `entries` is empty.
+struct AppendEntries {
   std::uint64_t previous_index = 0, previous_term = 0, commit = 0;
-  std::uint64_t round = 0;  // of a leader's heartbeats; answered with it
+  std::uint64_t round = 0;  // heartbeat round of the leader; returned in the answer
   std::vector<LogEntry> entries;
   bool operator==(const AppendEntries&) const = default;
 };
+// The answer to AppendEntries.
 struct AppendResponse {
   bool ok = false;
-  std::uint64_t index = 0;  // ok: synced up to here; else where the leader should look next
-  std::uint64_t round = 0;  // of the question
+  std::uint64_t index = 0;  // ok: synced up to here; otherwise the index for the leader to try next
+  std::uint64_t round = 0;  // of the request
   bool operator==(const AppendResponse&) const = default;
 };
-struct InstallSnapshot {  // one chunk
+// One chunk of a snapshot.
+struct InstallSnapshot {
   std::uint64_t index = 0, last_term = 0;
   std::chrono::milliseconds time{};
   std::vector<Member> voters;
@@ -80,26 +88,31 @@
   std::string bytes;
   bool operator==(const InstallSnapshot&) const = default;
 };
+// The answer to InstallSnapshot. `offset` is the number of bytes received; AppendResponse follows once the
+// snapshot is synced.
 struct InstallSnapshotResponse {
-  std::uint64_t index = 0, offset = 0, round = 0;  // bytes that are here; all of them: synced
+  std::uint64_t index = 0, offset = 0, round = 0;
   bool operator==(const InstallSnapshotResponse&) const = default;
 };
-struct TimeoutNow {  // stand for election at once
+// Requests that the receiver stands for election at once.
+struct TimeoutNow {
   bool operator==(const TimeoutNow&) const = default;
 };
 
 using ReplicaBody = std::variant<RequestVote, VoteResponse, AppendEntries, AppendResponse, InstallSnapshot,
                                  InstallSnapshotResponse, TimeoutNow>;
 
+// A message with its sender and term.
 struct ReplicaMessage {
   Member from;
-  agreement::Life to;      // a message for another life of the same machine is dropped
-  std::uint64_t term = 0;  // a pre-vote's: the one it would stand in
+  agreement::Life to;      // messages for another incarnation of the same machine are dropped
+  std::uint64_t term = 0;  // for a pre-vote: the term the candidate would stand in
   ReplicaBody body;
   bool operator==(const ReplicaMessage&) const = default;
 };
 
 std::string Encode(const ReplicaMessage& message);
+// Returns nullopt for malformed bytes and for messages beyond the limits above.
 std::optional<ReplicaMessage> DecodeReplicaMessage(std::string_view bytes);
 
 }  // namespace curlewdoor::coordination
--- a/src/coordination/replica_records.hpp
+++ b/src/coordination/replica_records.hpp
@@ -1,6 +1,6 @@
-// A replica's records in storage. Entries stand in a ring of keys, so that nothing has to be deleted: an
-// entry takes the place of the one kLogSlots before it, which a snapshot has made dispensable in the same
-// write or an earlier one. Every write holds the hard state, which says which entries count.
+// A replica's records in storage. Entries are stored in a ring of keys, so that nothing has to be deleted: an
+// entry overwrites the one kLogSlots before it, which a snapshot in the same write or an earlier one has made
+// obsolete. Every write contains the hard state, which defines the range of valid entries.
 #pragma once
 
 #include <chrono>
@@ -16,9 +16,10 @@
 
 inline constexpr std::uint64_t kLogSlots = 16'384;
 
+// Records that are written together.
 using RecordBatch = std::vector<std::pair<std::string, std::string>>;  // key, bytes
 
-// `disk`: the number of the life that writes.
+// `disk` is the disk number of the writing incarnation.
 RecordBatch EncodeHardState(std::uint64_t disk, std::uint64_t term,
                             const std::optional<agreement::Life>& voted_for, std::uint64_t snapshot_index,
                             std::uint64_t last_index);
--- a/src/coordination/state_machine.cpp
+++ b/src/coordination/state_machine.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr std::uint32_t kSnapshotFormat = 1;
-// What an entry of a table takes beside its texts.
+// Estimated memory of a table entry besides its strings.
 constexpr std::size_t kEntryOverheadBytes = 64;  // bytes
 
 }  // namespace
 
-// The state as it stands in a snapshot.
+// The layout of a snapshot.
 struct StateMachine::SnapshotData {
   struct HoldRecord {
     std::string lock, holder;
@@ -52,7 +52,7 @@
   std::vector<GroupRecord> groups;
   std::vector<RejectedPutRecord> rejected_puts;
 
-  // As Snapshot() writes it: by name, each once.
+  // Whether the records are sorted by name without duplicates, as Snapshot() writes them.
   bool IsSorted() const;
 
   friend auto Fields(HoldRecord& v) { return std::tie(v.lock, v.holder, v.fence, v.hold_ms, v.renewals); }
@@ -168,7 +168,7 @@
   return KeyPut{StorePut(at, put)};
 }
 
-// KeyConflict, kept where a late copy could find its expected revision.
+// Returns KeyConflict. Stores the put if a delayed copy of it could still meet its expected revision.
 CommandResult StateMachine::RejectPut(const PutKey& put, Revision present) {
   if (*put.expected <= GroupRevision(std::string(GroupOf(put.key))) || WasRejected(put))
     return KeyConflict{present};
@@ -183,13 +183,13 @@
   });
 }
 
-// The key's next revision is this one: what expects a lower one is refused by that alone.
+// `revision` is the key's new revision: puts that expect a lower one conflict without being stored.
 void StateMachine::DropRejectedPuts(const std::string& key, Revision revision) {
   std::erase_if(rejected_puts_,
                 [&](const RejectedPut& each) { return each.expected < revision && each.key == key; });
 }
 
-// The revision of the same put where it came before.
+// The revision under which the same put was applied before, if it was.
 std::optional<Revision> StateMachine::FindAppliedRevision(const PutKey& put, const KeyState* key) const {
   if (key == nullptr || HasFault(StateMachineLimits::Fault::kResendAppliedTwice)) return std::nullopt;
   if (key->value == put.value) return key->revision;
@@ -215,7 +215,7 @@
   auto [entry, is_new] = keys_.try_emplace(put.key);
   KeyState& key = entry->second;
   if (!is_new) key_bytes_ -= put.key.size() + key.value.size() + kEntryOverheadBytes;
-  // A present put that the history has lost already is no longer known as the key's newest.
+  // If the key's current put is no longer in the history, replacing it makes it a dropped one.
   if (!is_new && key.revision <= group.trimmed_to)
     key.newest_dropped = std::max(key.newest_dropped, key.revision);
   key.value = put.value;
@@ -228,7 +228,8 @@
   return revision;
 }
 
-// Puts whose time is over. Logged time rises, so the oldest of all groups stand in front.
+// Drops the puts older than limits_.history. Logged time does not decrease, so the oldest puts of all groups
+// are first in history_order_.
 void StateMachine::TrimHistory(LoggedTime now) {
   while (!history_order_.empty()) {
     KeyGroup& group = groups_[history_order_.front()];
@@ -328,7 +329,8 @@
   return packing::Pack(data, key_bytes_ + history_bytes_ + 1024);
 }
 
-// What Apply() relies on: each key has its group, each past put its key, and a group's puts rise.
+// Checks the invariants that Apply() relies on: each key has its group, each put in a history has its key,
+// and the revisions in a history are consecutive.
 bool StateMachine::IsConsistent(const SnapshotData& data) {
   std::map<std::string_view, Revision> revisions, groups;
   for (const auto& group : data.groups) {
--- a/src/coordination/state_machine.hpp
+++ b/src/coordination/state_machine.hpp
@@ -1,15 +1,16 @@
-// The replicated state: locks with their holders and fences, numbers, keys with revisions by group, and the
-// latest puts of each group. Pure and deterministic: the same commands at the same logged times give the same
-// results and the same snapshot at every replica. It knows no clock; the end of a hold is a command.
+// The replicated state machine: locks with their holders and fencing tokens, number sequences, keys with
+// revisions per group, and a bounded history of each group's puts. It does no I/O and is deterministic: the
+// same commands at the same logged times give the same results and the same snapshot on every replica. It
+// reads no clock; a hold (the time for which a lock belongs to its holder) is ended by a command.
 //
-// Why a put that comes again finds its first revision: the puts of the last `history` stand in the group's
-// history, and each key's newest for ever. A put with an expected revision R can have taken effect only under
-// a revision above R. If none of the key's puts above R was dropped from the history, the history tells
-// whether it did; else the result is OutcomeForgotten, never KeyConflict.
+// A retried put returns its first revision: the puts of the last `history` are in the group's history, and
+// the newest put of each key is kept without a time limit. A put with an expected revision R can only have
+// been applied with a revision above R. If none of the key's puts above R was dropped from the history, the
+// history shows whether the put was applied; otherwise the result is OutcomeExpired, never KeyConflict.
 //
-// Why a put that was answered KeyConflict never takes effect: the key's revision had passed the expected one,
-// and rises. Where the expected one is yet to come in the group, the refusal itself is kept until it has
-// passed.
+// A put that was answered with KeyConflict is never applied: the key's revision was already past the expected
+// one, and revisions only increase. If the group has not yet reached the expected revision, the rejected put
+// itself is stored until the key has passed that revision.
 #pragma once
 
 #include <chrono>
@@ -27,40 +28,44 @@
 
 namespace curlewdoor::coordination {
 
-// Logged by the leader: rises through the log, and no faster than a steady clock.
+// Time that the leader writes into each entry: never decreases along the log and never runs faster than a
+// steady clock.
 using LoggedTime = std::chrono::milliseconds;
 
-struct PutEvent {  // a put that took effect
+// An applied put.
+struct PutEvent {
   std::string key, value;
   Revision revision = 0;
   bool operator==(const PutEvent&) const = default;
 };
 
+// Bounds on the size of the state.
 struct StateMachineLimits {
-  LoggedTime history = std::chrono::seconds(40);  // how long puts are kept for watches and resends
+  LoggedTime history = std::chrono::seconds(40);  // how long puts are kept for watches and retries
   std::size_t locks = 4096, numbers = 4096, keys = 8192;
-  std::size_t key_bytes = 8u << 20;      // of names and values of all keys
-  std::size_t history_bytes = 8u << 20;  // of all histories; a put beyond it gets NoRoom
-  std::size_t rejected_puts = 256;       // puts that are kept as refused; OutcomeForgotten beyond it
-  // For tests of the tests: a state machine that does something wrong.
+  std::size_t key_bytes = 8u << 20;      // names and values of all keys
+  std::size_t history_bytes = 8u << 20;  // all histories; a put beyond it returns LimitReached
+  std::size_t rejected_puts = 256;       // stored rejected puts; OutcomeExpired beyond it
+  // Injected faults, which the tests must detect.
   enum class Fault : std::uint8_t {
     kNone,
     kResendAppliedTwice,
     kFenceReused,
-    kExpireRenewed,          // ExpireLock without a look at `renewals`
-    kConflictBeyondHistory,  // KeyConflict where the outcome is forgotten
+    kExpireRenewed,          // ExpireLock ignores `renewals`
+    kConflictBeyondHistory,  // KeyConflict where the outcome is no longer known
     kHistoryNotInSnapshot,
     kFenceNotInSnapshot
   } fault = Fault::kNone;
 };
 
+// Applies committed commands. See the top of this file.
 class StateMachine {
  public:
   struct Hold {
     std::string holder;
     FencingToken fence = 0;
-    std::uint64_t hold_ms = 0;   // the longest asked for since the hold began
-    std::uint64_t renewals = 0;  // counts AcquireLock and RenewLock that prolonged it
+    std::uint64_t hold_ms = 0;   // the longest duration requested since the lock was granted
+    std::uint64_t renewals = 0;  // number of AcquireLock and RenewLock commands that extended it
     bool operator==(const Hold&) const = default;
   };
   struct VersionedValue {
@@ -68,45 +73,47 @@
     Revision revision = 0;
   };
   struct EventBatch {
-    std::vector<PutEvent> events;  // all puts of the group above `after` and up to `revision`, rising
-    Revision revision = 0;  // of the group's newest put, or of the last event where there were too many
-    bool too_old = false;   // some above `after` were dropped: `events` is empty
+    std::vector<PutEvent> events;  // all puts of the group above `after` and up to `revision`, ascending
+    Revision revision = 0;  // of the group's newest put, or of the last event if the batch was cut short
+    bool too_old = false;   // puts above `after` were dropped from the history: `events` is empty
   };
 
   explicit StateMachine(StateMachineLimits limits);
 
+  // Applies one committed command. `at` must not decrease from call to call.
   CommandResult Apply(LoggedTime at, const Command& command);
 
   const std::map<std::string, Hold>& holds() const { return holds_; }  // by lock
   std::optional<VersionedValue> Find(const std::string& key) const;
-  // `after` 0 asks for the present revision alone: no events. Ends before an event that would make names and
-  // values more than `most_bytes`, but not before the first.
+  // The puts of a group after revision `after`. 0 returns only the current revision, without events. Stops
+  // before the event that would bring names and values above `max_bytes`, but returns at least one event.
   EventBatch EventsAfter(const std::string& group, Revision after, std::size_t max_bytes = SIZE_MAX) const;
   Revision GroupRevision(const std::string& group) const;
-  // Up to the first dot, the dot included; a name without a dot is its own group.
+  // The group of a key: its name up to and including the first dot. A name without a dot is its own group.
   static std::string_view GroupOf(std::string_view key);
 
+  // The whole state, encoded.
   std::string Snapshot() const;
-  // False: no snapshot of this version, or one that no state machine wrote; the state is as it was.
+  // Replaces the state by a snapshot. Returns false and leaves the state unchanged if the bytes are not a
+  // snapshot of this version or are inconsistent.
   bool Restore(std::string_view bytes);
 
  private:
   struct KeyState {
     std::string value;
     Revision revision = 0;
-    Revision newest_dropped =
-        0;  // the newest of its puts that the history has no more, but for the present one
+    Revision newest_dropped = 0;  // newest put dropped from the history, the current one excluded
   };
   struct HistoryEntry {
     PutEvent event;
     LoggedTime at{};
   };
   struct KeyGroup {
-    Revision revision = 0;    // of its newest put
-    Revision trimmed_to = 0;  // all puts above it stand in `history`
+    Revision revision = 0;    // of the newest put
+    Revision trimmed_to = 0;  // all puts above it are in `history`
     std::deque<HistoryEntry> history;
   };
-  // A put that was refused although its expected revision is yet to come.
+  // A rejected put whose expected revision has not been reached yet.
   struct RejectedPut {
     std::string key, value;
     Revision expected = 0;
@@ -141,8 +148,8 @@
   std::map<std::string, std::uint64_t> numbers_;
   std::map<std::string, KeyState> keys_;
   std::map<std::string, std::uint32_t, std::less<>> group_indexes_;  // by name
-  std::deque<KeyGroup> groups_;                                      // by number; none ever goes
-  std::deque<std::uint32_t> history_order_;  // the group of each put in all histories, the oldest put first
+  std::deque<KeyGroup> groups_;                                      // by index; never removed
+  std::deque<std::uint32_t> history_order_;  // group index of each put in all histories, oldest put first
   std::deque<RejectedPut> rejected_puts_;
   std::size_t key_bytes_ = 0, history_bytes_ = 0;
 };
--- a/src/coordination/watch_table.hpp
+++ b/src/coordination/watch_table.hpp
@@ -1,5 +1,5 @@
-// Watches that wait for events, by group, each until its time is over. Pure; no timer of its own: the owner
-// asks for what is due. Bounded in number.
+// Watches that wait for events of a group, each until its deadline. Has no timer: the caller polls for
+// expired watches. The number of watches is bounded.
 #pragma once
 
 #include <chrono>
@@ -15,6 +15,7 @@
 
 namespace curlewdoor::coordination {
 
+// The pending watches, indexed by group and by deadline.
 class WatchTable {
  public:
   using Time = std::chrono::steady_clock::time_point;
@@ -30,13 +31,13 @@
 
   explicit WatchTable(Limits limits) : limits_(limits) {}
 
-  // False: there are too many.
+  // False: the table is full, or the id is already in it.
   bool Add(Time now, std::uint64_t id, const std::string& group, Revision after,
            std::chrono::milliseconds wait);
   void Remove(std::uint64_t id);
-  // Those of the group whose `after` is below this revision; they are taken out.
+  // Removes and returns the watches of the group with `after` below `revision`.
   std::vector<Watch> TakeReady(const std::string& group, Revision revision);
-  // Those whose time is over; they are taken out.
+  // Removes and returns the watches whose deadline has passed, ordered by deadline.
   std::vector<Watch> TakeExpired(Time now);
   std::vector<Watch> TakeAll();
   std::optional<Time> NextDue() const;
--- a/tests/coordination/cluster.hpp
+++ b/tests/coordination/cluster.hpp
@@ -1,6 +1,6 @@
-// Members of the coordination log in virtual time: messages that take their time, get lost or are cut one
-// way; disks that sync late, stall, refuse or are wiped; processes that are killed, freeze and wake. By one
-// seed all repeats. Callers are the tests' own: they hand calls to members and hear replies.
+// A simulated cluster of coordination members in virtual time. Messages are delayed, lost, or blocked in one
+// direction; disks sync late, stall, fail or are wiped; processes are killed, frozen and resumed. A run is
+// determined by its seed. The tests are the callers: they pass calls to members and receive the replies.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +21,16 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
+// Delays and fault rates of the simulation.
 struct ClusterOptions {
   CoordinatorOptions coordinator;
-  Duration min_delay = microseconds(200), max_delay = milliseconds(3);  // of a message
-  Duration min_sync = milliseconds(1), max_sync = milliseconds(8);      // of a write
-  double loss_rate = 0;                                                 // share of messages
-  double write_failure_rate = 0;                                        // share
+  Duration min_delay = microseconds(200), max_delay = milliseconds(3);  // per message
+  Duration min_sync = milliseconds(1), max_sync = milliseconds(8);      // per write
+  double loss_rate = 0;                                                 // share of lost messages
+  double write_failure_rate = 0;                                        // share of failed writes
 };
 
+// The members, their disks and the network between them.
 class Cluster {
  public:
   using OnReply = std::function<void(const Reply& reply)>;
@@ -49,7 +51,7 @@
   std::size_t size() const { return nodes_.size(); }
   std::mt19937_64& random() { return random_; }
 
-  // Plays all events up to `span` from now.
+  // Runs all events up to `span` from now.
   void Run(Duration span) {
     const Time until = now_ + span;
     while (!events_.empty() && events_.begin()->first <= until) {
@@ -78,14 +80,14 @@
       const auto found = disk.find(key);
       return found == disk.end() ? std::nullopt : std::optional(found->second);
     });
-    if (!state) throw std::runtime_error("a disk can't be read");
+    if (!state) throw std::runtime_error("cannot read the state on a disk");
     node.coordinator =
         std::make_unique<Coordinator>(MemberAt(i), std::move(*state), options_.coordinator, random_());
     node.writing = false;
     ApplyMembership(i);
     Tick(i, node.process);
   }
-  // What it had not synced is gone; a write under way was kept or lost, by chance.
+  // Ends the process. Unsynced data is lost; a running write is persisted or lost at random.
   void Kill(std::size_t i) {
     Node& node = *nodes_[i];
     if (node.writing && random_() % 2 == 0) PersistWrite(node);
@@ -95,13 +97,13 @@
     node.deferred.clear();
     ++node.process;
   }
-  // Kills it; its disk comes back empty, as another life.
+  // Kills the process and empties its disk, which starts a new incarnation.
   void Wipe(std::size_t i) {
     Kill(i);
     nodes_[i]->disk.clear();
     nodes_[i]->disk_number = ++last_disk_;
   }
-  // All that comes meanwhile waits, in order.
+  // Suspends the process; its events are queued in order.
   void Freeze(std::size_t i) { nodes_[i]->frozen = true; }
   void Thaw(std::size_t i) {
     Node& node = *nodes_[i];
@@ -117,11 +119,11 @@
     });
   }
   void StallDisk(std::size_t i, Duration span) { nodes_[i]->disk_stalled_until = now_ + span; }
-  // Nothing goes from one to the other any more.
+  // Drops all messages from one member to the other.
   void BlockPath(std::size_t from, std::size_t to) { blocked_paths_.insert({from, to}); }
   void UnblockAllPaths() { blocked_paths_.clear(); }
   bool IsPathBlocked(std::size_t from, std::size_t to) const { return blocked_paths_.contains({from, to}); }
-  // The agreement's next epoch: these members, as their disks are now.
+  // Starts the agreement's next epoch with these members and their current disks.
   void SetMembership(const std::vector<std::size_t>& members) {
     ++membership_.epoch;
     membership_.members.clear();
@@ -134,21 +136,21 @@
     return std::nullopt;
   }
 
-  // How often this member's process was started or killed; tells one process of a member from the next.
+  // Number of starts and kills of this member, which identifies its current process.
   std::uint64_t process(std::size_t i) const { return nodes_[i]->process; }
   std::uint64_t disk_number(std::size_t i) const { return nodes_[i]->disk_number; }
   bool frozen(std::size_t i) const { return nodes_[i]->frozen; }
-  // From now on messages take so long and get lost so often, and disks refuse so often.
+  // Sets the message delay, the message loss and the write failures from now on.
   void SetFaultRates(Duration max_delay, double loss_rate, double write_failure_rate) {
     options_.max_delay = max_delay;
     options_.loss_rate = loss_rate;
     options_.write_failure_rate = write_failure_rate;
   }
-  // Called with each message as it is sent, and with each member after each of its steps.
+  // Called for each message when it is sent, and for a member after each of its steps.
   std::function<void(std::size_t from, const ReplicaMessage& message)> on_send;
   std::function<void(std::size_t member)> on_step;
 
-  // A call to this member; nothing where it isn't running. Replies may never come.
+  // Sends a call to this member. Does nothing if it is not running; there may never be a reply.
   void Call(std::size_t i, const coordination::Call& call, OnReply on_reply) {
     RunInProcess(i, [this, i, call, on_reply = std::move(on_reply)] {
       Node& node = *nodes_[i];
@@ -179,7 +181,8 @@
   }
   bool RandomChance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
 
-  // Runs it in this process now, or once it has thawed; never in a later one.
+  // Runs the action in the current process of the member, now or once it resumes, but never in a later
+  // process.
   void RunInProcess(std::size_t i, std::function<void()> action) {
     Node& node = *nodes_[i];
     if (!node.coordinator) return;
@@ -253,7 +256,7 @@
       if (IsPathBlocked(from, to)) return;
       RunInProcess(to, [this, to, bytes] {
         const auto message = DecodeReplicaMessage(bytes);
-        if (!message) throw std::runtime_error("a message can't be read");
+        if (!message) throw std::runtime_error("cannot decode a message");
         CoordinatorOutput out;
         nodes_[to]->coordinator->OnMessage(now_, *message, out);
         HandleOutput(to, std::move(out));
--- a/tests/coordination/coordinator_test.cpp
+++ b/tests/coordination/coordinator_test.cpp
@@ -1,4 +1,4 @@
-// One member by itself: what it answers at its bounds and with a disk that says nonsense.
+// A single member: what it answers at its limits and with a damaged snapshot on its disk.
 #include "coordination/coordinator.hpp"
 
 #include <boost/test/unit_test.hpp>
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// A core of one: its disk is done at once, and its time passes while it waits.
+// A cluster of one member, with a disk that syncs at once and a clock that advances while waiting.
 class SingleMember {
  public:
   explicit SingleMember(CoordinatorOptions options = {}, ReplicaState from_disk = {})
@@ -76,7 +76,7 @@
     for (const PutEvent& event : watched.events) BOOST_TEST(event.revision == ++after);
     BOOST_TEST(watched.revision == after);
   }
-  // One that is larger than an answer goes alone.
+  // An event that is larger than the reply limit is returned alone.
   BOOST_REQUIRE(core.CallAndWait(PutKey{"g.k", std::string(3000, 'w'), std::nullopt}));
   const auto reply = core.CallAndWait(WatchGroup{"g.", after, 1000});
   BOOST_REQUIRE(reply);
@@ -110,7 +110,7 @@
     BOOST_TEST(std::holds_alternative<NotServed>(*reply));
   }
   damaged.Run(std::chrono::seconds(2));
-  BOOST_TEST(damaged.member().replica().snapshot() == "nonsense");  // no empty state is written over it
+  BOOST_TEST(damaged.member().replica().snapshot() == "nonsense");  // is not overwritten by an empty state
 }
 
 }  // namespace
--- a/tests/coordination/explorer.hpp
+++ b/tests/coordination/explorer.hpp
@@ -1,6 +1,7 @@
-// Walks every order of a few events (calls, resends, waits, cuts, kills, lost disks) to a stated depth over
-// three real Coordinators, in virtual time, and holds what callers were told against the rules. The shortest
-// orders come first, so a fault is shown with its shortest trace. Nothing here knows the wall clock.
+// A model checker that runs every order of a few events (calls, retries, waits, network cuts, kills, wiped
+// disks) up to a given depth on three real Coordinators in virtual time, and checks the replies that callers
+// received. Shorter orders are explored first, so a violation is reported with its shortest trace. The wall
+// clock is not used.
 #pragma once
 
 #include <algorithm>
@@ -23,40 +24,41 @@
 inline constexpr std::size_t kMembers = 3;
 inline constexpr auto kHoldTime = milliseconds(1500);
 inline constexpr auto kWait =
-    milliseconds(650);  // a new leader serves, the cut-off one still believes it does
-inline constexpr auto kPause = milliseconds(300);            // shorter than an election takes to begin
-inline constexpr auto kHistory = milliseconds(1800);         // as members keep it
-inline constexpr auto kPromisedHistory = milliseconds(900);  // as callers are promised
+    milliseconds(650);  // enough for a new leader to serve while an isolated one still believes that it leads
+inline constexpr auto kPause = milliseconds(300);            // shorter than the election timeout
+inline constexpr auto kHistory = milliseconds(1800);         // as the members keep it
+inline constexpr auto kPromisedHistory = milliseconds(900);  // as promised to callers
 
-// What a caller may do; by number in a trace.
+// What a caller may do.
 enum class CallerAction : std::uint8_t {
   kAcquireA,
   kAcquireB,
   kRenewA,
   kReleaseA,
   kNumber,
-  kPut,          // a new value, with the expected revision that the caller knows
-  kResend,       // the newest put once more, whatever was answered
-  kResendFirst,  // the first one
+  kPut,          // a new value, expecting the newest revision known to the caller
+  kResend,       // the newest put again, whatever its reply was
+  kResendFirst,  // the first put again
   kRead,
   kWatch
 };
 
 class SimulatedCluster;
 
-// How often each event may come in one order, and how deep the orders go.
+// How often each kind of event may occur in one order, and the maximum depth.
 struct Bounds {
   std::vector<CallerAction> actions;
   int depth = 5;
   int waits = 0, pauses = 0, isolations = 0, kills = 0, restarts = 0, wipes = 0, rounds = 0, in_flight = 0,
       dropped_messages = 0;
-  std::function<void(SimulatedCluster&)> prepare;  // brings about where all orders begin
-  bool isolate_follower = false;                   // cuts are of a follower, not of the leader
+  std::function<void(SimulatedCluster&)> prepare;  // sets up the initial state of all orders
+  bool isolate_follower = false;                   // isolates a follower instead of the leader
   std::uint64_t compact_after_entries = 2048;
-  std::size_t max_states = 20'000;  // no deeper level is begun beyond
+  std::size_t max_states = 20'000;  // no deeper level is started beyond it
 };
 
-// Three members with their disks and messages, and what callers were told. A value: each order has its own.
+// Three members with their disks and messages in flight, and the replies that callers received. Copied for
+// each explored order.
 class SimulatedCluster {
  public:
   SimulatedCluster(const CoordinatorOptions& options, std::uint64_t seed) : options_(options), seed_(seed) {
@@ -79,7 +81,7 @@
     }
     return leader;
   }
-  // The newest that has won an election.
+  // The member that won the newest election and has not lost it since.
   std::optional<std::size_t> Elected() const {
     std::optional<std::size_t> elected;
     for (std::size_t i = 0; i < kMembers; ++i) {
@@ -95,7 +97,7 @@
 
   void Isolate(std::size_t i) { isolated_ = i; }
   void Heal() { isolated_.reset(); }
-  // A write under way is lost, and so is what others were to hear.
+  // Ends the process. Its running write and its messages in flight are lost.
   void Kill(std::size_t i) {
     nodes_[i].coordinator.reset();
     nodes_[i].unsynced.reset();
@@ -121,7 +123,7 @@
     for (std::size_t i = 0; i < kMembers; ++i) Kill(i);
     StartAll();
   }
-  // Back at once with an empty disk, as another life that the agreement has taken in.
+  // Restarts the member at once with an empty disk, as a new incarnation that the agreement has admitted.
   void Wipe(std::size_t i) {
     Kill(i);
     nodes_[i].disk.clear();
@@ -132,25 +134,25 @@
     for (std::size_t each = 0; each < kMembers; ++each)
       if (running(each)) ApplyMembership(each);
   }
-  // Time passes, but neither a message nor a disk gets on.
+  // Advances the time without delivering messages or completing writes.
   void Pause(Duration span) {
     for (const Time until = now_ + span; now_ < until;) {
       now_ += milliseconds(50);
       TickAll();
     }
   }
-  // What is under way arrives; what that brings about is under way then.
+  // Completes the running writes and delivers the messages in flight, but not those that result from it.
   void Round() {
     now_ += milliseconds(1);
     for (std::size_t i = 0; i < kMembers; ++i) EndWrite(i);
     auto network = std::exchange(network_, {});
     for (InFlightMessage& flight : network) Deliver(flight);
   }
-  // The newest message that is under way is lost.
+  // Loses the newest message in flight.
   void DropNewestMessage() {
     if (!network_.empty()) network_.pop_back();
   }
-  // Has won an election and not lost it since, whether it serves yet or not.
+  // Has won an election and not lost it since, whether or not it serves yet.
   bool Leads(std::size_t i) const {
     if (!running(i)) return false;
     const auto leader = nodes_[i].coordinator->replica().leader();
@@ -170,7 +172,7 @@
     }
   }
 
-  // What members have applied, they may show.
+  // Checks the values in the members' states, which may be returned to callers.
   void CheckStates() {
     for (const Node& node : nodes_) {
       if (!node.coordinator) continue;
@@ -184,7 +186,7 @@
     }
   }
 
-  // Nothing where the caller has no reason to ask so.
+  // False if the caller has no reason for this action now.
   bool CanIssue(CallerAction action) const {
     if (action == CallerAction::kRenewA) return callers_[0].fence != 0 && now_ < callers_[0].until;
     if (action == CallerAction::kReleaseA) return callers_[0].fence != 0;
@@ -225,19 +227,19 @@
     }
   }
 
-  // The day ends: all is well again, and each thing is asked for once more.
+  // Ends all faults and calls each object once more.
   void FinishAndCheck() {
     Heal();
     StartAll();
     CheckStates();
     acknowledged_revision_ =
-        std::max(acknowledged_revision_, applied_revision_);  // somebody may have been shown it
+        std::max(acknowledged_revision_, applied_revision_);  // may have been returned to a caller
     for (int i = 0; i < 4 && violation_.empty(); ++i) Run(kWait);
     for (const CallerAction action :
          {CallerAction::kRead, CallerAction::kNumber, CallerAction::kWatch, CallerAction::kAcquireB}) {
       if (!violation_.empty()) return;
       const auto leader = Leader();
-      if (!leader) return ReportViolation("LOST: nobody serves at the end");
+      if (!leader) return ReportViolation("LOST: no member serves at the end");
       const std::size_t answered_before = answered_;
       Issue(*leader, action);
       Settle();
@@ -258,8 +260,8 @@
   };
   struct PendingCall {
     CallerAction action{};
-    std::size_t caller = 0;          // or the number of the put
-    std::uint64_t known_before = 0;  // what was known when it was sent
+    std::size_t caller = 0;          // or the index of the put
+    std::uint64_t known_before = 0;  // the newest value known when it was sent
     Time sent{};
     std::size_t member = 0;
     bool lost = false;
@@ -271,9 +273,9 @@
   struct Put {
     std::string value;
     Revision expected = 0;
-    int open = 0;  // copies without a clear answer
+    int open = 0;  // copies without a definite reply
     bool refused = false, applied = false;
-    bool not_served = false;  // all copies until now: none is on its way
+    bool not_served = false;  // true if no copy so far was accepted and none is pending
   };
 
   std::uint64_t TermOf(std::size_t i) const { return nodes_[i].coordinator->replica().term(); }
@@ -332,7 +334,7 @@
     for (auto& [id, reply] : out.replies) Answer(id, reply);
   }
 
-  // ---- Calls and what is told ----
+  // ---- Calls and replies ----
 
   void Send(std::size_t member, PendingCall pending, const Call& call) {
     pending.sent = now_;
@@ -346,7 +348,7 @@
   void SendPut(std::size_t member, std::size_t number) {
     Put& put = puts_[number];
     ++put.open;
-    put.not_served = false;  // this copy may take effect again
+    put.not_served = false;  // the new copy may take effect
     Send(member, {CallerAction::kPut, number, acknowledged_revision_},
          PutKey{"g.k", put.value, put.expected});
   }
@@ -362,7 +364,7 @@
     if (const auto* watched = std::get_if<WatchResult>(&reply)) return OnWatched(pending, *watched);
     if (std::holds_alternative<HistoryExpired>(reply)) {
       if (watch_revision_at_ + kPromisedHistory > now_)
-        ReportViolation("LOST: 410 for a revision given just now");
+        ReportViolation("LOST: 410 for a revision that was returned recently");
       return;
     }
     const auto* result = std::get_if<CommandResult>(&reply);
@@ -381,7 +383,7 @@
         ReportViolation("ONE: a fence below another holder's");
     Caller& caller = callers_[pending.caller];
     const Time until = pending.sent + kHoldTime;
-    // A renewal whose answer comes after the caller's time has no effect.
+    // A renewal that is answered after the caller's hold has ended has no effect.
     const bool too_late = caller.fence == fence && pending.sent < caller.until && now_ >= caller.until;
     if (now_ >= until || too_late) return;
     caller = {fence, std::max(until, caller.fence == fence ? caller.until : until)};
@@ -398,12 +400,13 @@
   }
   void CheckHolders() {
     const auto holds = [&](const Caller& each) { return each.fence != 0 && now_ < each.until; };
-    if (holds(callers_[0]) && holds(callers_[1])) ReportViolation("ONE: two callers count themselves holder");
+    if (holds(callers_[0]) && holds(callers_[1]))
+      ReportViolation("ONE: two callers hold the lock at the same time");
   }
 
   void OnNumber(const PendingCall& pending, std::uint64_t value) {
-    if (value <= pending.known_before) ReportViolation("ORDER: a number not above one given before");
-    if (!numbers_.insert(value).second) ReportViolation("ORDER: a number given twice");
+    if (value <= pending.known_before) ReportViolation("ORDER: a number is not above an earlier one");
+    if (!numbers_.insert(value).second) ReportViolation("ORDER: a number was returned twice");
     highest_number_ = std::max(highest_number_, value);
   }
 
@@ -411,7 +414,7 @@
     Put& put = puts_[pending.caller];
     const auto* result = std::get_if<CommandResult>(&reply);
     if (std::holds_alternative<NotServed>(reply)) {
-      --put.open;  // this copy never takes effect
+      --put.open;  // this copy will never take effect
       put.not_served = put.open == 0 && !put.applied;
     } else if (result != nullptr) {
       if (const auto* done = std::get_if<KeyPut>(result)) {
@@ -424,17 +427,18 @@
         --put.open;
         put.refused = true;
         if (conflict->revision < pending.known_before)
-          ReportViolation("STALE: a 412 below what was acknowledged");
-        if (put.applied) ReportViolation("REFUSED: a put that took effect was turned away");
+          ReportViolation("STALE: a 412 with a revision below an acknowledged one");
+        if (put.applied) ReportViolation("REFUSED: an applied put was rejected");
         known_revision_ = std::max(known_revision_, conflict->revision);
       }
     }
     if ((put.refused || put.not_served) && revisions_by_value_.contains(put.value))
-      ReportViolation("REFUSED: a put in the state was turned away");
+      ReportViolation("REFUSED: a put that is in the state was rejected");
   }
 
   void OnRead(const PendingCall& pending, const ReadResult& read) {
-    if (read.revision < pending.known_before) ReportViolation("STALE: a read below what was acknowledged");
+    if (read.revision < pending.known_before)
+      ReportViolation("STALE: a read returned a revision below an acknowledged one");
     if (read.revision == 0) return;
     ObserveValue(read.value, read.revision);
     known_revision_ = std::max(known_revision_, read.revision);
@@ -444,11 +448,13 @@
     Revision last = pending.known_before;
     if (last != 0) {
       for (const PutEvent& event : watched.events) {
-        if (event.revision != last + 1) ReportViolation("ORDER: a watch skips a put or doesn't rise");
+        if (event.revision != last + 1)
+          ReportViolation("ORDER: the revisions of a watch are not consecutive");
         last = event.revision;
         ObserveValue(event.value, event.revision);
       }
-      if (last != watched.revision) ReportViolation("ORDER: a watch's revision isn't its events'");
+      if (last != watched.revision)
+        ReportViolation("ORDER: the revision of a watch differs from its last event");
     }
     SaveRevision(watched.revision);
   }
@@ -459,17 +465,17 @@
     watch_revision_at_ = now_;
   }
 
-  // A value at a revision, wherever it is seen.
+  // Checks a value with its revision, from a reply or from a member's state.
   void ObserveValue(const std::string& value, Revision revision) {
     const auto put =
         std::find_if(puts_.begin(), puts_.end(), [&](const Put& each) { return each.value == value; });
-    if (put == puts_.end()) return ReportViolation("MIXED: a value that nobody put");
-    if (put->refused || put->not_served) ReportViolation("REFUSED: a refused put's value is shown");
-    if (revision <= put->expected) ReportViolation("ORDER: a put over a later revision");
+    if (put == puts_.end()) return ReportViolation("MIXED: a value that was never put");
+    if (put->refused || put->not_served) ReportViolation("REFUSED: the value of a rejected put is visible");
+    if (revision <= put->expected) ReportViolation("ORDER: a put was applied below its expected revision");
     if (revisions_by_value_.try_emplace(value, revision).first->second != revision)
-      ReportViolation("MIXED: a value under two revisions");
+      ReportViolation("MIXED: a value has two revisions");
     if (values_by_revision_.try_emplace(revision, value).first->second != value)
-      ReportViolation("ORDER: a revision given twice");
+      ReportViolation("ORDER: a revision was used twice");
   }
 
   struct FencedGrant {
@@ -488,7 +494,7 @@
   std::map<CallId, PendingCall> calls_;
   std::size_t answered_ = 0;
   std::string violation_;
-  // What callers know.
+  // What the callers know.
   std::vector<Caller> callers_{2};
   std::map<FencingToken, FencedGrant> grants_by_fence_;
   std::set<std::uint64_t> numbers_;
@@ -500,6 +506,7 @@
   Time watch_revision_at_{};
 };
 
+// Explores the orders of events by depth.
 class Explorer {
  public:
   Explorer(CoordinatorOptions options, Bounds bounds, std::uint64_t seed)
@@ -507,7 +514,7 @@
     if (bounds_.prepare) bounds_.prepare(initial_);
   }
 
-  // Empty, or what was broken and by which order of events: the shortest there is.
+  // Returns an empty string, or the violation with the shortest order of events that causes it.
   std::string Run() {
     for (int depth = 1; depth <= bounds_.depth && states_ < bounds_.max_states; ++depth) {
       trace_.clear();
@@ -517,26 +524,26 @@
     return {};
   }
   std::size_t state_count() const { return states_; }
-  int complete() const { return complete_; }  // all orders so deep were walked
+  int complete() const { return complete_; }  // greatest depth that was explored completely
   std::string Figures() const {
     return std::to_string(states_) + " states, all orders of " + std::to_string(complete_) + " events";
   }
 
  private:
-  struct Remaining {  // of each kind of event
+  struct Remaining {  // events left of each kind
     Bounds of;
   };
   static CoordinatorOptions PrepareOptions(CoordinatorOptions options, const Bounds& bounds) {
     options.replica.election_timeout_min = milliseconds(400);
     options.replica.election_timeout_max = milliseconds(550);
     options.replica.batch_delay = Duration::zero();
-    options.replica.max_append_bytes = 1;  // an entry a message
+    options.replica.max_append_bytes = 1;  // one entry per message
     options.limits.history = kHistory;
     options.compact_after_entries = bounds.compact_after_entries;
     return options;
   }
 
-  // True: something is broken.
+  // Returns true if a violation was found.
   bool Explore(const SimulatedCluster& cluster, const Remaining& remaining, int depth) {
     if (depth == 0) {
       SimulatedCluster end = cluster;
--- a/tests/coordination/failover_test.cpp
+++ b/tests/coordination/failover_test.cpp
@@ -1,6 +1,6 @@
-// How long nothing is served once a leader is lost, in virtual time and with the options as they are by
-// default. Callers ask each member that believes it serves, every 20 ms. FAILOVER_SEEDS chooses how many are
-// played.
+// Measures how long calls are not served after the loss of a leader, in virtual time and with the default
+// options. Callers try each member that believes it serves, every 20 ms. FAILOVER_SEEDS sets the number of
+// seeds.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -11,14 +11,14 @@
 namespace curlewdoor::coordination::testing {
 namespace {
 
-// For 99 of 100.
+// Targets for the 99th percentile.
 constexpr Duration kTarget = std::chrono::seconds(2);
-constexpr Duration kTransferTarget = milliseconds(400);  // where the leader can name the next one
+constexpr Duration kTransferTarget = milliseconds(400);  // when the leader can transfer leadership
 
-// From now until the first call that is sent from now on is answered; ten seconds where none is.
+// Time until the first call sent from now on is answered; ten seconds if none is.
 Duration TimeUntilServed(Cluster& cluster) {
   const Time began = cluster.now();
-  // Replies may come after this.
+  // Replies may arrive after this function returns.
   const auto served = std::make_shared<std::optional<Time>>();
   while (!*served && cluster.now() - began < std::chrono::seconds(10)) {
     for (std::size_t i = 0; i < cluster.size(); ++i) {
@@ -53,7 +53,7 @@
   cluster.Wipe(leader);
   cluster.Wipe((leader + 1) % cluster.size());
 }
-// Until it has been taken out of the voters.
+// Removes the leader from the membership and waits until it has stopped serving.
 void RemoveFromMembership(Cluster& cluster, std::size_t leader) {
   std::vector<std::size_t> members;
   for (std::size_t i = 0; i < cluster.size(); ++i)
@@ -77,7 +77,7 @@
       {"cut to it", BlockInbound},
       {"disk stalls", StallDisk},
       {"two wiped", WipeTwo},
-      {"left out of the roster", RemoveFromMembership},
+      {"removed from the membership", RemoveFromMembership},
       {"all lose power", RestartAll}};
   ClusterOptions slow;
   slow.max_sync = milliseconds(100);
@@ -99,7 +99,7 @@
       const auto at = [&](std::size_t percent) {
         return std::chrono::duration_cast<milliseconds>(spans[(spans.size() - 1) * percent / 100]);
       };
-      BOOST_TEST_MESSAGE(name << (options.max_sync == slow.max_sync ? ", slow disks and ways" : "")
+      BOOST_TEST_MESSAGE(name << (options.max_sync == slow.max_sync ? ", slow disks and network" : "")
                               << ": median " << at(50).count() << " ms, 99% " << at(99).count()
                               << " ms, most " << at(100).count() << " ms");
       const Duration target = fail_leader == RemoveFromMembership ? kTransferTarget : kTarget;
--- a/tests/coordination/history/applications.hpp
+++ b/tests/coordination/history/applications.hpp
@@ -1,6 +1,6 @@
-// Applications as the wire page describes them, in virtual time or of real processes (`World`): holders that
-// keep a lock for an instant or long, that die and that sleep beyond their time; numbers; keys that are read
-// and put; watchers.
+// Simulated applications that use the coordination API as its documentation describes, in virtual time or
+// against real processes (`Environment`): holders that keep a lock for a short or long time, stop, or pause
+// beyond the end of their hold; counters; readers and writers of keys; watchers.
 #pragma once
 
 #include <fmt/format.h>
@@ -27,7 +27,7 @@
 template <typename Environment>
 class Applications {
  public:
-  static constexpr double kResendSeconds = 3;  // seconds, of one call
+  static constexpr double kResendSeconds = 3;  // retries of one call
 
   Applications(Environment& environment, const ApplicationOptions& options)
       : environment_(environment), options_(options) {
@@ -38,10 +38,10 @@
     for (std::size_t i = 0; i < options.watchers; ++i)
       RunSoon([=, this] { Watch(static_cast<int>(i), fmt::format("g{}.", i % options_.groups), 0); });
   }
-  // They begin nothing new; holds and resends come to their end.
+  // Starts nothing new. Running holds and retries are completed.
   void Stop() { stopped_ = true; }
 
-  // After the end: all is asked for once more, again and again for so long.
+  // Calls each object once more at the end of a run, with retries for `patience` seconds.
   void ProbeAllObjects(double patience) {
     for (std::size_t i = 0; i < options_.locks; ++i) {
       const std::string lock = fmt::format("l{}", i);
@@ -101,11 +101,11 @@
   void Hold(const Seen& begin, double hold_end, std::size_t renewals) {
     if (environment_.Seconds() >= hold_end) return RunAfter(0.01, 0.4, [=, this] { Acquire(begin.holder); });
     switch (renewals == 0 ? environment_.Pick(5) : 5) {
-      case 0: {  // dies
+      case 0: {  // stops
         environment_.NoteStopped(begin, environment_.Seconds());
         return RunAfter(0.05, 2, [=, this] { Acquire(begin.holder); });
       }
-      case 1:  // sleeps beyond its time, and goes on as if it held it
+      case 1:  // pauses beyond the end of the hold and continues as if it still held the lock
         return RunAfter(0.2, 3, [=, this] { Renew(begin, hold_end, 0); });
       case 5:
         return RunAfter(0.02, static_cast<double>(begin.hold_ms) / 2000,
@@ -128,8 +128,8 @@
     const Seen seen = LockSeen(Kind::kFinish, begin.name, begin.holder, 0, begin.fence);
     environment_.SendUntilClear(seen, ReleaseLock{seen.name, seen.holder, seen.fence}, kResendSeconds,
                                 [=, this](const Seen& answered) {
-                                  // A release without an answer may come late, and would end the next hold
-                                  // with this fence: it waits until no hold can have it.
+                                  // An unanswered release may arrive late and end the next hold if that has
+                                  // the same fence. Wait until no hold can have this fence.
                                   const double pause = answered.good() ? 0 : 8;
                                   RunAfter(pause, pause + 0.3, [=, this] { Acquire(begin.holder); });
                                 });
@@ -197,8 +197,7 @@
   const ApplicationOptions options_;
   bool stopped_ = false;
   std::uint64_t last_value_ = 0;
-  std::map<std::string, std::uint64_t>
-      resume_revisions_;  // revisions that watches are resumed from at the end
+  std::map<std::string, std::uint64_t> resume_revisions_;  // revisions at which the final watches start
 };
 
 }  // namespace curlewdoor::coordination::testing
--- a/tests/coordination/history/simulation.hpp
+++ b/tests/coordination/history/simulation.hpp
@@ -1,7 +1,7 @@
-// Applications, gateways with the real CoordinationCalls, and a Cluster, in virtual time: streams that break,
-// gateways that are killed or stand still, callers that turn to another address as the wire says. What the
-// callers see is kept as a history. By one seed all repeats. There is no time of day in any of it, so a jump
-// of the clock is a trouble that has no effect here by construction.
+// Simulates applications, gateways with the real CoordinationCalls, and a Cluster in virtual time: streams
+// break, gateways are killed or frozen, and callers retry at another address as the API requires. The calls
+// are recorded as a history. A run is determined by its seed. No part of it uses the wall clock, so clock
+// jumps cannot have an effect and are not simulated.
 #pragma once
 
 #include <fmt/format.h>
@@ -21,7 +21,7 @@
 using Seen = systemkit::CoordinationCallSeen;
 using Kind = Seen::Kind;
 
-// A gateway: with a member in its process (`home`), or without.
+// A gateway, with or without a member in its own process (`local_member`).
 class SimulatedGateway : public CoordinationCalls::Owner {
  public:
   using OnAnswer = CoordinationCalls::OnAnswer;
@@ -51,7 +51,7 @@
     for (Connection& connection : connections_) connection = {};
   }
   void Freeze() { frozen_ = calls_ != nullptr; }
-  // What came meanwhile is handled in its order; calls whose callers have given up are refused.
+  // Handles the deferred events in order. Calls that arrived meanwhile are refused, as their callers gave up.
   void Thaw() {
     frozen_ = false;
     auto deferred = std::exchange(deferred_, {});
@@ -60,7 +60,7 @@
     for (auto& action : deferred) action();
   }
 
-  // The stream to this member breaks; what is under way on it is lost.
+  // Breaks the stream to this member; the messages in flight on it are lost.
   void BreakStream(std::size_t member) {
     Connection& connection = connections_[member];
     if (connection.stream == 0) return;
@@ -70,7 +70,7 @@
     connection.reconnect_at = cluster_.now() + Draw(milliseconds(20), milliseconds(200));
     RunInProcess([this, stream] { calls_->OnStreamDown(cluster_.now(), stream); });
   }
-  // Bytes of a stream wait while its way is cut.
+  // Holds back the messages of a stream in these directions.
   void BlockStream(std::size_t member, bool outbound, bool inbound) {
     connections_[member].outbound_blocked = outbound;
     connections_[member].inbound_blocked = inbound;
@@ -113,7 +113,7 @@
   }
   void SendTo(std::uint64_t stream, const system::Message& message) override {
     const auto* sent = std::get_if<system::CoordinationCall>(&message);
-    if (sent == nullptr) return;  // that nobody waits any more
+    if (sent == nullptr) return;  // a CoordinationForget
     const std::size_t member = MemberOf(stream);
     SendThrough(member, stream, true, [this, member, stream, number = sent->number, bytes = sent->call] {
       cluster_.Call(member, *DecodeCall(bytes), [this, member, stream, number](const Reply& reply) {
@@ -133,11 +133,11 @@
 
  private:
   struct Connection {
-    std::uint64_t stream = 0;  // 0: down
+    std::uint64_t stream = 0;  // 0 if down
     Time reconnect_at{};
     bool outbound_blocked = false, inbound_blocked = false;
     std::vector<std::function<void()>> held_outbound, held_inbound;
-    Time outbound_arrival{}, inbound_arrival{};  // when what was sent last arrives: a stream keeps its order
+    Time outbound_arrival{}, inbound_arrival{};  // arrival of the newest message, which keeps the order
   };
 
   Duration Draw(Duration least, Duration most) {
@@ -147,9 +147,9 @@
   std::size_t MemberOf(std::uint64_t stream) const {
     for (std::size_t i = 0; i < connections_.size(); ++i)
       if (connections_[i].stream == stream) return i;
-    throw std::logic_error("no such stream");
+    throw std::logic_error("unknown stream");
   }
-  // On this stream, after its way; held while the way is cut; never once it has broken.
+  // Delivers on this stream after a delay, later if the direction is blocked, and never if the stream breaks.
   void SendThrough(std::size_t member, std::uint64_t stream, bool outbound, std::function<void()> action) {
     Connection& connection = connections_[member];
     if (connection.stream != stream) return;
@@ -200,9 +200,10 @@
 struct SimulationOptions {
   std::size_t members = 5, tolerance = 2;
   ClusterOptions cluster;
-  bool returns_503_after_send = false;  // a fault, for tests of the tests
+  bool returns_503_after_send = false;  // an injected fault, which the tests must detect
 };
 
+// The cluster, its gateways, and the recorded calls.
 class Simulation {
  public:
   using OnSeen = std::function<void(const Seen& seen)>;
@@ -228,7 +229,7 @@
   void At(Duration after, std::function<void()> action) { cluster.At(after, std::move(action)); }
   bool Chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
 
-  // ---- Troubles, of a member together with the gateway in its process
+  // ---- Faults of a member together with the gateway in its process
   void Kill(std::size_t member) { StopMember(member, false); }
   void Wipe(std::size_t member) { StopMember(member, true); }
   void Start(std::size_t member) {
@@ -245,7 +246,8 @@
   }
 
   // ---- Calls
-  // One sending to some gateway; `seen` holds what is asked. Ends after `patience` at most.
+  // Sends one call to a random gateway; `seen` describes the call. Ends after `patience` seconds at the
+  // latest.
   void Send(Seen seen, const coordination::Call& call, double patience, OnSeen on_seen) {
     seen.sent = Seconds();
     const std::size_t at = history_.size();
@@ -273,7 +275,7 @@
       });
     });
   }
-  // Again and again elsewhere, until there is a clear answer or the time is over.
+  // Retries at random gateways until there is a definite answer or `patience` seconds have passed.
   void SendUntilClear(const Seen& seen, const coordination::Call& call, double patience, OnSeen on_seen) {
     SendUntil(seen, call, Seconds() + patience, std::move(on_seen));
   }
@@ -315,7 +317,7 @@
       cluster.At(Draw(0.01, 0.06), [=, this] { SendUntil(seen, call, until, on_seen); });
     });
   }
-  // Some callers take a 503 for what it promises, and go on to something else.
+  // Some callers do not retry after 503 or 429, which promise that the call had no effect.
   bool AcceptsRefusal(const Seen& answered) {
     const bool refused = answered.status == 503 || answered.status == 429;
     return refused && answered.kind == Kind::kPut && Chance(0.3);
@@ -344,7 +346,7 @@
     }
   }
 
-  // A member that begins to lead says so to all that reach it.
+  // Announces a new leader to all gateways.
   void WatchLeader() {
     const auto leader = cluster.Leader();
     if (leader && leader != announced_leader_) {
--- a/tests/coordination/history_search_test.cpp
+++ b/tests/coordination/history_search_test.cpp
@@ -1,8 +1,8 @@
-// Histories of applications at a cluster in virtual time, under mixes of troubles, judged from outside; and
-// faults that the judge must find.
+// Records the calls of simulated applications under mixes of faults in virtual time and checks the histories
+// against the rules of the API. Injected faults must be found.
 //
-// CURLEWDOOR_HISTORY_SEEDS=N plays seeds 1 to N of each mix, CURLEWDOOR_HISTORY_FIRST=K begins at K,
-// CURLEWDOOR_HISTORY_MIX=NAME plays that mix alone.
+// CURLEWDOOR_HISTORY_SEEDS=N sets the number of seeds per mix, CURLEWDOOR_HISTORY_FIRST=K the first seed, and
+// CURLEWDOOR_HISTORY_MIX=NAME selects a single mix.
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 
@@ -18,7 +18,7 @@
 struct FaultMix {
   const char* name;
   std::size_t members = 5, tolerance = 2;
-  // Weights of the troubles.
+  // Relative frequencies of the faults.
   unsigned kill = 0, wipe = 0, freeze = 0, gateway = 0, isolation = 0, one_way_cut = 0, disk_stall = 0,
            stream_reset = 0, membership_change = 0, blackout = 0;
   bool final_power_loss = false;
@@ -95,7 +95,7 @@
         {mix_.kill, &HistoryRun::Kill},
         {mix_.wipe, &HistoryRun::Wipe},
         {mix_.freeze, &HistoryRun::Freeze},
-        {mix_.gateway, &HistoryRun::PauseGateway},
+        {mix_.gateway, &HistoryRun::DisruptGateway},
         {mix_.isolation, &HistoryRun::IsolateMember},
         {mix_.one_way_cut, &HistoryRun::IsolateOneWay},
         {mix_.disk_stall, &HistoryRun::StallRandomDisk},
@@ -133,7 +133,7 @@
       RunLater(0.05, 0.3, [this, i] { simulation_.Start(i); });
     }
   }
-  // As many as are to be borne at once, and none until the log has replaced those before.
+  // Wipes at most the tolerated number of disks, and none until the log has replaced the previous ones.
   void Wipe() {
     if (simulation_.Seconds() > kFaultSeconds - 4 || !WipedMembersReplaced()) return;
     if (simulation_.Chance(0.5) && members_ == 6) return WipeBesideLaggards();
@@ -151,8 +151,9 @@
       ApplyMembership();
     });
   }
-  // Of six: two lag, then two others lose their disks and the two that are left are away for a while. The
-  // wiped ones and the laggards are as many as a majority, and none of them has the newest entries.
+  // Of six members, two lag behind; then two others lose their disks and the remaining two are down for a
+  // while. The wiped and the lagging members together are a majority, and none of them has the newest
+  // entries.
   void WipeBesideLaggards() {
     const std::size_t first = RandomMember();
     const auto at = [this, first](std::size_t i) { return (first + i) % members_; };
@@ -203,7 +204,7 @@
   void Thaw(std::size_t member) {
     if (frozen_.erase(member) > 0) simulation_.Thaw(member);
   }
-  void PauseGateway() {
+  void DisruptGateway() {
     SimulatedGateway& gateway = *simulation_.gateways.back();
     if (gateway.frozen()) return;
     if (simulation_.Chance(0.5)) {
@@ -215,7 +216,7 @@
   }
   void IsolateMember() { BlockPaths(true, true); }
   void IsolateOneWay() { BlockPaths(simulation_.Chance(0.5), false); }
-  // One member from some or all others, one way (`there`: what it sends) or both.
+  // Separates one member from some or all others, in one direction (`outbound`: what it sends) or both.
   void BlockPaths(bool outbound, bool both_ways) {
     const std::size_t member = RandomMember();
     const double share = simulation_.Chance(0.5) ? 1 : 0.5;
@@ -239,12 +240,12 @@
   }
 
   void EndFaults() {
-    simulation_.cluster.Run(milliseconds(2600));  // those that end by themselves
+    simulation_.cluster.Run(milliseconds(2600));  // faults that end by themselves
     UnblockPaths();
     for (const std::size_t member : std::set<std::size_t>(frozen_)) Thaw(member);
     simulation_.cluster.Run(milliseconds(3000));
   }
-  // All are killed, and as many as are to be borne come back empty.
+  // Kills all members; the tolerated number of them restarts with empty disks.
   void FinalPowerLoss() {
     const bool wipes = WipedMembersReplaced();
     for (std::size_t i = 0; i < members_; ++i)
@@ -283,7 +284,7 @@
   return setting != nullptr ? std::strtoull(setting, nullptr, 10) : default_value;
 }
 
-BOOST_AUTO_TEST_CASE(no_rule_is_broken_under_any_mix_of_troubles) {
+BOOST_AUTO_TEST_CASE(no_rule_is_violated_under_any_mix_of_faults) {
   const char* only = std::getenv("CURLEWDOOR_HISTORY_MIX");
   const std::uint64_t first = EnvironmentNumber("CURLEWDOOR_HISTORY_FIRST", 1),
                       seeds = EnvironmentNumber("CURLEWDOOR_HISTORY_SEEDS", 4);
@@ -323,9 +324,9 @@
   BOOST_TEST_MESSAGE(searched << " objects searched, " << too_long << " too long");
 }
 
-// ---- The search finds what is wrong ----
+// ---- Injected faults are found ----
 
-// Seeds of these mixes until a rule is broken; 0: none was.
+// Returns the first seed of these mixes for which a rule is violated; 0 if there is none.
 std::uint64_t SeedThatFinds(const std::function<void(SimulationOptions&)>& fault,
                             std::vector<const char*> names, std::uint64_t most = 60) {
   for (std::uint64_t seed = 1; seed <= most; ++seed) {
--- a/tests/coordination/leave_test.cpp
+++ b/tests/coordination/leave_test.cpp
@@ -1,4 +1,4 @@
-// A member that is about to end hands leadership on; so do several at once.
+// Members that are shutting down transfer leadership, also several at once.
 #include <boost/test/unit_test.hpp>
 
 #include "cluster.hpp"
@@ -9,8 +9,9 @@
 using namespace std::chrono_literals;
 using testing::Cluster;
 
-// Two members have their SIGTERM and go on for some seconds, as their requests drain: a third one serves.
-BOOST_AUTO_TEST_CASE(two_that_leave_do_not_hand_leadership_to_and_fro) {
+// Two members received SIGTERM and keep running for seconds while their requests drain; a third one must
+// serve.
+BOOST_AUTO_TEST_CASE(two_members_that_shut_down_do_not_pass_leadership_back_and_forth) {
   Cluster cluster(6, {}, 2);
   cluster.Run(3s);
   const std::size_t leader = *cluster.Leader();
@@ -29,8 +30,9 @@
     }
     cluster.Run(20ms);
   }
-  BOOST_TEST_MESSAGE("two leave: " << served << " of 100 served, "
-                                   << cluster.coordinator(5)->replica().term() - term << " terms in 2.5 s");
+  BOOST_TEST_MESSAGE("two shut down: " << served << " of 100 served, "
+                                       << cluster.coordinator(5)->replica().term() - term
+                                       << " terms in 2.5 s");
   BOOST_TEST(served >= 90);
 }
 
--- a/tests/coordination/model_check_test.cpp
+++ b/tests/coordination/model_check_test.cpp
@@ -1,4 +1,5 @@
-// What every order of events keeps, and what a member that does wrong breaks; the walk is explorer.hpp.
+// Model checks: no order of events violates a rule, and each injected fault does. The search is in
+// explorer.hpp.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -10,7 +11,7 @@
 namespace curlewdoor::coordination::testing {
 namespace {
 
-// Deeper by hand: CURLEWDOOR_STATES=n of each case; no level is begun beyond.
+// CURLEWDOOR_STATES=n sets the number of states per case beyond which no deeper level is started.
 std::size_t StatesPerCase(std::size_t default_value) {
   const char* states = std::getenv("CURLEWDOOR_STATES");
   return states != nullptr ? std::strtoull(states, nullptr, 10) : default_value;
@@ -30,7 +31,7 @@
     cases.push_back({name, bounds});
     return cases.back().bounds;
   };
-  auto& lock = add("a lock, time, a cut leader", {CallerAction::kAcquireA, CallerAction::kAcquireB});
+  auto& lock = add("a lock, waits, an isolated leader", {CallerAction::kAcquireA, CallerAction::kAcquireB});
   lock.waits = 4;
   lock.isolations = lock.pauses = lock.in_flight = 1;
   auto& renewed =
@@ -38,30 +39,31 @@
           {CallerAction::kAcquireA, CallerAction::kAcquireB, CallerAction::kRenewA, CallerAction::kReleaseA});
   renewed.waits = 3;
   renewed.pauses = renewed.in_flight = renewed.kills = 1;
-  auto& fences = add("a lock, snapshots, restarts, a lost disk",
+  auto& fences = add("a lock, snapshots, restarts, a wiped disk",
                      {CallerAction::kAcquireA, CallerAction::kAcquireB, CallerAction::kReleaseA});
   fences.waits = 2;
   fences.restarts = fences.wipes = fences.kills = 1;
   fences.compact_after_entries = 1;
-  auto& puts =
-      add("puts and resends, a cut leader", {CallerAction::kPut, CallerAction::kResend, CallerAction::kRead});
+  auto& puts = add("puts and retries, an isolated leader",
+                   {CallerAction::kPut, CallerAction::kResend, CallerAction::kRead});
   puts.waits = 2;
   puts.isolations = puts.in_flight = puts.rounds = 1;
-  auto& numbers = add("a number, a read, a cut follower, a killed leader",
+  auto& numbers = add("a number, a read, an isolated follower, a killed leader",
                       {CallerAction::kNumber, CallerAction::kPut, CallerAction::kRead});
   numbers.waits = 2;
   numbers.isolations = numbers.kills = 1;
   numbers.isolate_follower = true;
-  auto& watches = add("puts, a watch, snapshots, restarts, a lost disk",
+  auto& watches = add("puts, a watch, snapshots, restarts, a wiped disk",
                       {CallerAction::kPut, CallerAction::kResend, CallerAction::kWatch});
   watches.waits = 2;
   watches.restarts = watches.wipes = watches.kills = 1;
   watches.compact_after_entries = 1;
-  auto& rounds = add("puts, one round at a time, a cut leader", {CallerAction::kPut, CallerAction::kResend});
+  auto& rounds = add("puts, one message round at a time, an isolated leader",
+                     {CallerAction::kPut, CallerAction::kResend});
   rounds.rounds = rounds.in_flight = 3;
   rounds.waits = rounds.isolations = rounds.kills = 1;
   auto& forgotten =
-      add("puts and resends beyond the history",
+      add("puts and retries beyond the history",
           {CallerAction::kPut, CallerAction::kResend, CallerAction::kResendFirst, CallerAction::kWatch});
   forgotten.waits = 4;
   forgotten.isolations = 1;
@@ -88,7 +90,7 @@
   Bounds bounds;
 };
 
-// One round at a time, until one of these is the newest that has won an election.
+// Runs one round at a time until one of these members has won the newest election.
 std::size_t RunUntilElected(SimulatedCluster& cluster, const std::vector<std::size_t>& members) {
   const auto elected = [&] {
     return std::find_if(members.begin(), members.end(),
@@ -102,8 +104,9 @@
   return *elected();
 }
 
-// The first leader has a put that no other has heard of; another member has led since and has told nobody;
-// the first one has been elected again, by the third.
+// Sets up a leader with an uncommitted put of an earlier term: no other member has the put, another member
+// was leader since then without replicating anything, and the first one was elected again with the third
+// one's vote.
 void ReelectLeaderWithOldPut(SimulatedCluster& cluster) {
   const std::size_t first = *cluster.Leader();
   cluster.Isolate(first);
@@ -112,8 +115,8 @@
   cluster.Isolate(RunUntilElected(cluster, {(first + 1) % kMembers, (first + 2) % kMembers}));
   cluster.Settle();
   RunUntilElected(cluster, {first});
-  cluster.Round();  // the third one says what it lacks
-  cluster.Round();  // and is sent the put, and the new leader's own entry
+  cluster.Round();  // the third member reports which entries it is missing
+  cluster.Round();  // and is sent the put and the first entry of the new term
 }
 
 std::vector<Mutant> Mutants() {
@@ -146,49 +149,50 @@
     return mutant.bounds;
   };
   using CoordinatorFault = CoordinatorOptions::Fault;
-  auto& waits =
-      of_coordinator(CoordinatorFault::kNewLeaderExpiresHolds, "a new leader doesn't wait for holds",
-                     {CallerAction::kAcquireA, CallerAction::kAcquireB});
+  auto& waits = of_coordinator(CoordinatorFault::kNewLeaderExpiresHolds, "a new leader ends holds at once",
+                               {CallerAction::kAcquireA, CallerAction::kAcquireB});
   waits.kills = 1;
   waits.waits = 2;
-  of_coordinator(CoordinatorFault::kHoldExpiresEarly, "a hold ends before its caller's count",
+  of_coordinator(CoordinatorFault::kHoldExpiresEarly, "a hold ends before the time that its caller counts",
                  {CallerAction::kAcquireA, CallerAction::kAcquireB})
       .waits = 2;
-  of_coordinator(CoordinatorFault::kRenewalIgnored, "a renewal doesn't move the end",
+  of_coordinator(CoordinatorFault::kRenewalIgnored, "a renewal does not extend the hold",
                  {CallerAction::kAcquireA, CallerAction::kAcquireB, CallerAction::kRenewA})
       .waits = 3;
-  auto& refused = of_coordinator(CoordinatorFault::kRefusedAfterProposal, "refuses what it has proposed",
-                                 {CallerAction::kPut, CallerAction::kRead});
+  auto& refused =
+      of_coordinator(CoordinatorFault::kRefusedAfterProposal, "rejects a command that it has proposed",
+                     {CallerAction::kPut, CallerAction::kRead});
   refused.isolations = refused.in_flight = refused.rounds = 1;
   refused.waits = 2;
-  auto& asking = of_coordinator(CoordinatorFault::kReadWithoutConfirmation, "a cut-off leader answers reads",
-                                {CallerAction::kPut, CallerAction::kRead});
+  auto& asking =
+      of_coordinator(CoordinatorFault::kReadWithoutConfirmation, "an isolated leader answers reads",
+                     {CallerAction::kPut, CallerAction::kRead});
   asking.isolations = 1;
   asking.waits = 1;
   auto& follower = of_coordinator(CoordinatorFault::kReadAtFollower, "a follower answers reads",
                                   {CallerAction::kPut, CallerAction::kRead});
   follower.isolations = 1;
   follower.isolate_follower = true;
-  of_coordinator(CoordinatorFault::kWatchReturnsNewestOnly, "a watch is told the newest event alone",
+  of_coordinator(CoordinatorFault::kWatchReturnsNewestOnly, "a watch returns only the newest event",
                  {CallerAction::kPut, CallerAction::kWatch});
   of_coordinator(CoordinatorFault::kWatchRevisionAhead, "a watch's revision is ahead of its events",
                  {CallerAction::kPut, CallerAction::kWatch});
   auto& snapshot =
-      of_coordinator(CoordinatorFault::kSnapshotNotRestored, "a new member doesn't take the snapshot",
+      of_coordinator(CoordinatorFault::kSnapshotNotRestored, "a new member does not restore the snapshot",
                      {CallerAction::kPut, CallerAction::kRead});
   snapshot.wipes = snapshot.kills = 1;
   snapshot.waits = 3;
   snapshot.compact_after_entries = 1;
-  of_state(StateMachineLimits::Fault::kResendAppliedTwice, "a resend is run twice",
+  of_state(StateMachineLimits::Fault::kResendAppliedTwice, "a retry is applied twice",
            {CallerAction::kPut, CallerAction::kResend});
   of_state(StateMachineLimits::Fault::kFenceReused, "a fence is used again",
            {CallerAction::kAcquireA, CallerAction::kAcquireB, CallerAction::kReleaseA});
-  auto& expire = of_state(StateMachineLimits::Fault::kExpireRenewed, "a hold's end doesn't look at renewals",
+  auto& expire = of_state(StateMachineLimits::Fault::kExpireRenewed, "a hold ends despite a renewal",
                           {CallerAction::kAcquireA, CallerAction::kAcquireB});
   expire.waits = 2;
   expire.pauses = expire.in_flight = 2;
   auto& conflict =
-      of_state(StateMachineLimits::Fault::kConflictBeyondHistory, "a conflict is told beyond the history",
+      of_state(StateMachineLimits::Fault::kConflictBeyondHistory, "a conflict is reported beyond the history",
                {CallerAction::kPut, CallerAction::kResendFirst});
   conflict.waits = 4;
   auto& history = of_state(StateMachineLimits::Fault::kHistoryNotInSnapshot,
@@ -201,17 +205,18 @@
   fence.compact_after_entries = 1;
   fence.restarts = 1;
   fence.waits = 2;
-  auto& quorum = of_replica(ReplicaOptions::Fault::kReadWithoutQuorum, "a read without a majority's word",
-                            {CallerAction::kPut, CallerAction::kRead});
+  auto& quorum =
+      of_replica(ReplicaOptions::Fault::kReadWithoutQuorum, "a read without confirmation by a majority",
+                 {CallerAction::kPut, CallerAction::kRead});
   quorum.isolations = 1;
   quorum.waits = 1;
-  auto& shorter = of_replica(ReplicaOptions::Fault::kVoteForOutdatedLog, "a vote for a shorter log",
+  auto& shorter = of_replica(ReplicaOptions::Fault::kVoteForOutdatedLog, "a vote for an outdated log",
                              {CallerAction::kPut, CallerAction::kRead});
   shorter.isolations = shorter.kills = 1;
   shorter.isolate_follower = true;
   shorter.waits = 2;
-  auto& older =
-      of_replica(ReplicaOptions::Fault::kCommitOlderTerm, "copies of an older term's entry count", {});
+  auto& older = of_replica(ReplicaOptions::Fault::kCommitOlderTerm,
+                           "copies of an entry of an earlier term are counted", {});
   older.prepare = ReelectLeaderWithOldPut;
   older.rounds = 3;
   older.dropped_messages = older.isolations = 1;
@@ -220,14 +225,14 @@
   return mutants;
 }
 
-BOOST_AUTO_TEST_CASE(every_member_that_does_wrong_is_caught_with_its_shortest_trace) {
+BOOST_AUTO_TEST_CASE(every_injected_fault_is_found_with_its_shortest_trace) {
   for (Mutant& each : Mutants()) {
     Explorer explorer(each.options, each.bounds, 1);
     const std::string violation = explorer.Run();
     BOOST_TEST_MESSAGE(each.name << ": " << explorer.Figures() << ": " << violation);
     BOOST_TEST(!violation.empty(), each.name);
     each.bounds.max_states = 5'000;
-    Explorer right({}, each.bounds, 1);  // the same events, done right
+    Explorer right({}, each.bounds, 1);  // the same events without the fault
     BOOST_TEST(right.Run() == "", each.name);
   }
 }
--- a/tests/coordination/replica_records_test.cpp
+++ b/tests/coordination/replica_records_test.cpp
@@ -1,5 +1,5 @@
-// What replicas leave on their disks: read back after a loss of power at any write, past the ring of keys,
-// with damage, and where another life's records stand.
+// The stored records of replicas, read back after a power loss at any write, after the ring of keys wraps
+// around, with damage, and with the records of another incarnation.
 #include <boost/test/unit_test.hpp>
 #include <map>
 #include <random>
@@ -33,14 +33,14 @@
   for (const auto& [key, bytes] : records) disk[key] = bytes;
 }
 
-// core-1 of three as it follows leaders that core-2 and core-3 make up, and loses its power at writes.
+// core-1 of three as a follower of simulated leaders core-2 and core-3, with power losses during writes.
 class Follower {
  public:
   explicit Follower(std::uint64_t seed) : random_(seed) { Start(); }
 
   void Step() {
     switch (Below(12)) {
-      case 0:  // another leader: what is not committed may differ
+      case 0:  // a new leader, which may lack uncommitted entries
         ++term_;
         if (log_.size() > committed_) log_.resize(committed_ + Below(log_.size() - committed_ + 1));
         break;
@@ -103,12 +103,11 @@
   }
   void Append() {
     for (std::uint64_t i = Below(4); i > 0; --i) log_.push_back({term_, milliseconds(1), "c", {}});
-    // From where the leader believes it to be: what it has acknowledged, or further on, where it may be
-    // refused.
+    // Starts after the acknowledged entries, or further on, where the follower may reject the message.
     const std::uint64_t from = acknowledged_ + (Below(3) == 0 ? Below(log_.size() - acknowledged_ + 1) : 0);
     AppendEntries append{from, from == 0 ? 0 : log_[from - 1].term, committed_, 0, {}};
     append.entries.assign(log_.begin() + static_cast<std::ptrdiff_t>(from), log_.end());
-    // Committed by the two others.
+    // The two others may have committed entries.
     if (Below(2)) committed_ = std::max(committed_, acknowledged_ + Below(log_.size() - acknowledged_ + 1));
     Receive(std::move(append));
   }
@@ -141,7 +140,7 @@
   std::optional<RecordBatch> write_;
   std::unique_ptr<Replica> replica_;
   std::uint64_t term_ = 1, promised_term_ = 0, acknowledged_ = 0, committed_ = 0;
-  std::vector<LogEntry> log_;  // of the leader; acknowledged entries are committed and stay
+  std::vector<LogEntry> log_;  // the leader's log; acknowledged entries are committed and stay
 };
 
 BOOST_AUTO_TEST_CASE(what_was_acknowledged_is_there_after_a_loss_of_power_at_any_write) {
@@ -151,7 +150,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(entries_take_the_place_of_those_a_snapshot_has_made_dispensable) {
+BOOST_AUTO_TEST_CASE(entries_overwrite_those_that_a_snapshot_made_obsolete) {
   Disk disk;
   Replica replica(ThreeMembers()[0], {}, {}, 1);
   Time now{std::chrono::hours(1)};
@@ -182,7 +181,7 @@
   BOOST_TEST(disk.size() <= kLogSlots + 2);
 }
 
-// A disk of a voter: a snapshot and five entries.
+// The disk of a voter with a snapshot and five entries.
 Disk SampleDisk() {
   Disk disk;
   WriteRecords(disk, EncodeHardState(kDisk, 3, Life{"core-2", 2}, 10, 15));
@@ -214,7 +213,7 @@
   BOOST_TEST(!ReadState(other));
 }
 
-BOOST_AUTO_TEST_CASE(another_lifes_records_count_for_nothing) {
+BOOST_AUTO_TEST_CASE(records_of_another_incarnation_are_ignored) {
   Disk disk = SampleDisk();
   const auto none = ReadState(disk, kDisk + 1);
   BOOST_REQUIRE(none);
@@ -237,7 +236,7 @@
   BOOST_TEST(!old->found);
 }
 
-// Found by fuzz/coordination.cpp: key g.k, and no group of it.
+// Found by fuzz/coordination.cpp: a snapshot with key g.k but without its group.
 BOOST_AUTO_TEST_CASE(a_snapshot_that_no_state_machine_wrote_is_refused) {
   constexpr unsigned char kLacksAGroup[] = {0x96, 0x01, 0x01, 0x90, 0x90, 0x91, 0x94, 0xc4, 0x03,
                                             'g',  '.',  'k',  0xc4, 0x01, 'w',  0x02, 0x00, 0x91,
--- a/tests/coordination/replica_rules_test.cpp
+++ b/tests/coordination/replica_rules_test.cpp
@@ -1,4 +1,5 @@
-// Single rules of one replica, message by message, each also against the fault that breaks it.
+// Safety rules of a single replica, checked message by message, and each also with the injected fault that
+// violates it.
 #include <boost/test/unit_test.hpp>
 
 #include "coordination/replica.hpp"
@@ -19,7 +20,7 @@
 
 LogEntry EntryOf(std::uint64_t term, std::string command) { return {term, {}, std::move(command), {}}; }
 
-// What the disk of a voter of five holds after these entries.
+// The stored state of one of five voters with these entries.
 ReplicaState StoredState(std::uint64_t term, std::vector<LogEntry> entries) {
   ReplicaState state;
   state.found = true;
@@ -29,7 +30,7 @@
   return state;
 }
 
-// core-1 of five; the test is the others, the disk and the clock.
+// core-1 of five. The test plays the other members, the disk and the clock.
 class TestReplica {
  public:
   explicit TestReplica(ReplicaState stored, ReplicaOptions options = {})
@@ -82,7 +83,7 @@
       Receive(MemberNumber(i), replica.term(), AppendResponse{true, replica.log_last(), 0});
     BOOST_REQUIRE(replica.serving());
   }
-  // The messages of this kind that were sent since the last question.
+  // The messages of this type sent since the last call.
   template <typename Body>
   std::vector<Body> TakeSentMessages() {
     std::vector<Body> sent;
@@ -114,7 +115,7 @@
   }
 };
 
-// ---- Each rule: whether it is kept ----
+// ---- Each function returns whether its rule holds ----
 
 bool VoteWaitsForSync(Fault fault) {
   TestReplica member(StoredState(0, {}), fault);
@@ -151,7 +152,7 @@
   BOOST_TEST(member.replica.Read(member.now, 7, member.out));
   if (!member.out.confirmed_reads.empty()) return false;
   member.Tick();
-  // An answer to an earlier question counts for nothing, nor does one voter's alone.
+  // Answers to an earlier heartbeat round do not count, and one voter is not a majority.
   member.Receive(MemberNumber(2), 2, AppendResponse{true, 1, 0});
   member.Receive(MemberNumber(3), 2, AppendResponse{true, 1, 0});
   member.Receive(MemberNumber(3), 2, AppendResponse{true, 1, 1});
@@ -218,13 +219,13 @@
       {"vote for a shorter log", Fault::kVoteForOutdatedLog, NoVoteForOutdatedLog}};
   for (const auto& [name, fault, holds] : rules) {
     BOOST_TEST(holds(Fault::kNone), name);
-    BOOST_TEST(!holds(fault), name << ": the fault wasn't found");
+    BOOST_TEST(!holds(fault), name << ": the fault was not found");
   }
 }
 
-// ---- Rules without a fault of their own ----
+// ---- Rules without an injected fault ----
 
-// The disk still holds the entries that the snapshot has done away with.
+// Until the next write the disk still holds the entries that the snapshot replaced.
 BOOST_AUTO_TEST_CASE(a_snapshot_is_acknowledged_once_it_is_synced) {
   for (const bool write_under_way : {false, true}) {
     TestReplica member(StoredState(1, std::vector<LogEntry>(10, EntryOf(1, "a"))));
@@ -239,7 +240,7 @@
   }
 }
 
-// Else it may stand in the same term once more after a lost write, and lead it twice.
+// Otherwise it could stand in the same term again after a lost write, and lead the term twice.
 BOOST_AUTO_TEST_CASE(a_candidate_leads_once_its_own_vote_is_synced) {
   TestReplica member(StoredState(1, {}));
   member.StartElection();
@@ -250,8 +251,8 @@
   BOOST_TEST(!member.TakeSentMessages<AppendEntries>().empty());
 }
 
-// Another of the first voters may be founded, and ask, before this one.
-BOOST_AUTO_TEST_CASE(a_vote_before_the_founding_hinders_no_founding) {
+// Another of the first voters may be bootstrapped, and request a vote, before this one.
+BOOST_AUTO_TEST_CASE(a_vote_before_bootstrap_does_not_prevent_bootstrap) {
   TestReplica member(ReplicaState{});
   member.Receive(MemberNumber(2), 1, RequestVote{false, false, 0, 0});
   member.EndWrites();
@@ -260,7 +261,7 @@
   BOOST_TEST(member.replica.voters().size() == 5u);
 }
 
-// What was sent already may only wait for a slow disk: bytes between zones cost.
+// Entries that were sent may only be waiting for a slow disk, and traffic between zones is charged.
 BOOST_AUTO_TEST_CASE(an_unanswered_peer_is_sent_one_message_at_a_time) {
   ReplicaOptions options;
   options.max_append_bytes = 100;
@@ -274,10 +275,10 @@
   std::size_t with_entries = 0;
   for (const AppendEntries& each : member.TakeSentMessages<AppendEntries>())
     with_entries += !each.entries.empty();
-  BOOST_TEST(with_entries <= 4u);  // one for each peer
+  BOOST_TEST(with_entries <= 4u);  // one per peer
 }
 
-// Until its removal is committed its vote, and its log, may be the ones that are wanted.
+// Until its removal is committed, its vote and its log may be needed for a majority.
 BOOST_AUTO_TEST_CASE(a_voter_stands_until_its_removal_is_committed) {
   for (const std::uint64_t committed : {0, 1}) {
     LogEntry removal{1, {}, {}, {MemberNumber(2), MemberNumber(3), MemberNumber(4), MemberNumber(5)}};
--- a/tests/coordination/replica_search_test.cpp
+++ b/tests/coordination/replica_search_test.cpp
@@ -1,8 +1,8 @@
-// A seeded search for faults of the replicated log: members are killed, wiped, frozen, cut off one way, their
-// disks stall or refuse, rosters change, messages are lost, late and out of order, while callers take
-// numbers, put and read. Judged from outside by what callers were told, and inside by what members send and
-// hold. SEARCH_SEEDS and SEARCH_FIRST in the environment choose other seeds than the few of a build;
-// SEARCH_FAULT the number of a ReplicaOptions::Fault.
+// A randomized search for faults in the replicated log. Members are killed, wiped, frozen or cut off in one
+// direction, disks stall or fail, the membership changes, and messages are lost, delayed and reordered, while
+// callers take numbers, put and read. The checks use the replies that callers received and the messages and
+// states of the members. The environment variables SEARCH_SEEDS and SEARCH_FIRST select the seeds,
+// SEARCH_FAULT the number of a ReplicaOptions::Fault to inject.
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -16,11 +16,11 @@
 using Fault = ReplicaOptions::Fault;
 
 constexpr std::size_t kMinMembers = 5, kMaxMembers = 8;
-constexpr std::size_t kMaxWipedDisks = 2;  // disks at once
+constexpr std::size_t kMaxWipedDisks = 2;  // at once
 constexpr auto kRecoveryTimeout = std::chrono::seconds(3);
-constexpr int kFaultsPerRun = 40;  // of one search
+constexpr int kFaultsPerRun = 40;  // per run
 
-// One cluster, one seed; `failure` tells the first thing that was wrong.
+// One cluster with one seed. Run() returns a description of the first failure, or an empty string.
 class SearchRun {
  public:
   SearchRun(std::uint64_t seed, Fault fault)
@@ -69,7 +69,7 @@
     if (failure_.empty()) failure_ = what + DescribeMembers();
   }
 
-  // ---- Troubles ----
+  // ---- Faults ----
 
   void InjectFault() {
     const std::size_t member =
@@ -110,7 +110,7 @@
     for (std::size_t i = 0; i < members_; ++i)
       if (RandomBelow(4) != 0) cluster_.Start(i);
   }
-  // Cuts the members in two, both ways or one.
+  // Separates the members into two sides, in both directions or one.
   void Partition() {
     const bool both = RandomBelow(2);
     std::vector<bool> side;
@@ -122,8 +122,7 @@
           if (both) cluster_.BlockPath(k, i);
         }
   }
-  // A lost disk counts until the log has settled on voters with the member's new life and without the old
-  // one.
+  // A wiped disk counts until the voters include the member's new incarnation and no longer the old one.
   void ForgetReplacedDisks() {
     const auto leader = cluster_.Leader();
     if (!leader) return;
@@ -144,7 +143,7 @@
     ApplyMembership();
     if (RandomBelow(2)) cluster_.Start(member);
   }
-  // Never to fewer than five: with four, two lost disks are a majority's.
+  // Never fewer than five members: four members do not tolerate two wiped disks.
   void ChangeMembership() {
     if (members_ == kMinMembers) return;
     ForgetReplacedDisks();
@@ -160,7 +159,7 @@
 
   // ---- Callers ----
 
-  // Mostly one that serves, also one that has not heard yet that another one does.
+  // Usually a serving member, possibly one that has not yet learned of a newer leader.
   std::size_t RandomServingMember() {
     std::vector<std::size_t> serving;
     for (std::size_t i = 0; i < members_; ++i)
@@ -209,7 +208,7 @@
     });
   }
 
-  // All is well again: a call must be served soon, and know all that was answered.
+  // Ends all faults. A call must then be served soon and reflect everything answered before.
   void HealAndCheck() {
     cluster_.UnblockAllPaths();
     cluster_.SetFaultRates(milliseconds(3), 0, 0);
@@ -225,26 +224,26 @@
       if (const auto leader = cluster_.Leader()) TakeNumberAt(*leader, [&] { served = true; });
       cluster_.Run(milliseconds(50));
     }
-    if (!served) return Fail("not served after all was healed");
+    if (!served) return Fail("not served after all faults ended");
     if (const auto leader = cluster_.Leader()) ReadAt(*leader);
     cluster_.Run(std::chrono::seconds(10));
     CheckSettled();
   }
-  // All have come to the same: the voters are the roster's, and nobody stays behind.
+  // Checks that the voters equal the membership and that all members have applied the same entries.
   void CheckSettled() {
     const auto leader = cluster_.Leader();
-    if (!leader) return Fail("no leader in the end");
+    if (!leader) return Fail("no leader at the end");
     const Replica& leader_replica = cluster_.coordinator(*leader)->replica();
     std::set<Life> voters, members;
     for (const Member& voter : leader_replica.voters()) voters.insert(voter.life);
     for (std::size_t i = 0; i < members_; ++i) members.insert(cluster_.MemberAt(i).life);
-    if (voters != members) Fail("the voters are not the roster's in the end");
+    if (voters != members) Fail("the voters differ from the membership at the end");
     for (std::size_t i = 0; i < members_; ++i)
       if (cluster_.coordinator(i)->replica().applied() != leader_replica.applied())
-        Fail("member " + std::to_string(i) + " stays behind");
+        Fail("member " + std::to_string(i) + " has not caught up");
   }
 
-  // Where each member stands, for the tale of a failure.
+  // The state of each member, for the description of a failure.
   std::string DescribeMembers() const {
     std::ostringstream description;
     for (std::size_t i = 0; i < members_; ++i) {
@@ -259,7 +258,7 @@
     return description.str();
   }
 
-  // ---- Inside ----
+  // ---- Internal invariants ----
 
   void CheckSent(std::size_t from, const ReplicaMessage& message) {
     const auto* append = std::get_if<AppendEntries>(&message.body);
@@ -278,7 +277,7 @@
     }
     if (changes > 1) Fail("two changes of voters at once");
   }
-  // Members that have applied as much hold the same.
+  // Members that have applied the same entries have equal states.
   void CheckState(std::size_t member) {
     const Coordinator& coordinator = *cluster_.coordinator(member);
     const std::uint64_t applied = coordinator.replica().applied();
--- a/tests/coordination/replica_test.cpp
+++ b/tests/coordination/replica_test.cpp
@@ -1,4 +1,4 @@
-// A member's part in the log, with real disks' records in memory: who leads, and what outlives which losses.
+// Clusters with the stored records in memory: numbers and voters survive lost leaders and wiped disks.
 #include <boost/test/unit_test.hpp>
 
 #include "cluster.hpp"
@@ -58,20 +58,20 @@
   return names;
 }
 
-// Runs until it is so; false: it wasn't for ten seconds.
+// Runs until the condition holds. Returns false if it does not within ten seconds.
 template <typename Condition>
 bool RunUntil(Cluster& cluster, Condition&& condition) {
   for (int i = 0; i < 500 && !condition(); ++i) cluster.Run(milliseconds(20));
   return condition();
 }
 
-BOOST_AUTO_TEST_CASE(a_voter_that_lives_stays_until_the_one_that_comes_for_it_votes) {
+BOOST_AUTO_TEST_CASE(a_reachable_voter_stays_until_its_replacement_votes) {
   Cluster cluster(6, {}, 1);
   BOOST_REQUIRE(TakeNextNumber(cluster));
   cluster.Kill(3);
   cluster.SetMembership({0, 1, 2, 4, 5});
   BOOST_REQUIRE(RunUntil(cluster, [&] { return VotersOf(cluster).size() == 5; }));
-  // One comes back to the roster, but doesn't run yet; another one, which does, is to leave.
+  // core-4 is in the membership again but not running yet; core-6, which is running, is to be removed.
   cluster.SetMembership({0, 1, 2, 3, 4});
   cluster.Run(std::chrono::seconds(5));
   BOOST_TEST(VotersOf(cluster).contains("core-6"));
--- a/tests/coordination/state_machine_test.cpp
+++ b/tests/coordination/state_machine_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state by itself: tables of commands with the results they must have.
+// The state machine alone: tables of commands with their expected results.
 #include "coordination/state_machine.hpp"
 
 #include <boost/test/unit_test.hpp>
@@ -30,7 +30,8 @@
   return text;
 }
 
-// Plays the steps; every step must also have its result in a machine restored from the one before it.
+// Runs the steps. Each step must also give the same result in a machine restored from a snapshot taken before
+// it.
 void RunSteps(StateMachine& machine, const std::vector<Step>& steps, const StateMachineLimits& limits = {}) {
   for (std::size_t i = 0; i < steps.size(); ++i) {
     StateMachine restored(limits);
@@ -68,11 +69,11 @@
             {0, ReleaseLock{"l", "a", 1}, Done{}},
             {0, RenewLock{"l", "a", 1, 100}, LockRefused{}},
             {0, AcquireLock{"l", "b", 100}, LockGranted{2}},
-            {0, ReleaseLock{"l", "a", 1}, Done{}},  // late: not b's hold
+            {0, ReleaseLock{"l", "a", 1}, Done{}},  // delayed: does not end b's hold
             {0, AcquireLock{"l", "a", 100}, LockRefused{}}});
 }
 
-BOOST_AUTO_TEST_CASE(a_name_that_held_before_gets_a_new_fence) {
+BOOST_AUTO_TEST_CASE(a_former_holder_gets_a_new_fence) {
   RunSteps({{0, AcquireLock{"l", "a", 100}, LockGranted{1}},
             {0, ReleaseLock{"l", "a", 1}, Done{}},
             {0, AcquireLock{"l", "a", 100}, LockGranted{2}},
@@ -92,12 +93,12 @@
             {0, AcquireLock{"l", "a", 100}, LockGranted{1}},
             {0, ExpireLock{"l", 1, 1}, Done{}},
             {0, RenewLock{"l", "a", 1, 100}, Done{}},  // still held
-            {0, ExpireLock{"l", 2, 3}, Done{}},        // another hold's
+            {0, ExpireLock{"l", 2, 3}, Done{}},        // a different fence
             {0, ExpireLock{"none", 1, 3}, Done{}},
             {0, AcquireLock{"l", "b", 100}, LockRefused{}},
             {0, ExpireLock{"l", 1, 3}, Done{}},
             {0, AcquireLock{"l", "b", 100}, LockGranted{2}},
-            {0, ExpireLock{"l", 1, 0}, Done{}},  // the one before it
+            {0, ExpireLock{"l", 1, 0}, Done{}},  // the previous hold
             {0, RenewLock{"l", "b", 2, 100}, Done{}}});
 }
 
@@ -128,13 +129,13 @@
             {0, Put("g.a", "6", 1), KeyConflict{3}},
             {0, Put("g.a", "7"), KeyPut{4}},
             {0, Put("g.none", "8", 1), KeyConflict{0}},
-            {0, Put("h.a", "9", 0), KeyPut{1}},  // a group counts by itself
-            {0, Put("g", "10", 0), KeyPut{1}},   // and a name without a dot is one
-            {0, Put("g.", "11", 0), KeyPut{5}},  // "g." is in g.
+            {0, Put("h.a", "9", 0), KeyPut{1}},  // each group has its own revisions
+            {0, Put("g", "10", 0), KeyPut{1}},   // a name without a dot is a group
+            {0, Put("g.", "11", 0), KeyPut{5}},  // "g." is in group "g."
             {0, Put("g.a.b", "12", 0), KeyPut{6}}});
 }
 
-BOOST_AUTO_TEST_CASE(a_put_that_comes_again_finds_its_first_revision) {
+BOOST_AUTO_TEST_CASE(a_retried_put_returns_its_first_revision) {
   RunSteps({{0, Put("g.a", "1", 0), KeyPut{1}},
             {0, Put("g.a", "1", 0), KeyPut{1}},
             {0, Put("g.a", "2", 1), KeyPut{2}},
@@ -143,32 +144,33 @@
             {1, Put("g.a", "1"), KeyPut{1}},
             {1, Put("g.a", "2", 1), KeyPut{2}},
             {1, Put("g.b", "1", 3), KeyPut{4}},    // the same value under another key is another put
-            {999, Put("g.b", "1", 3), KeyPut{4}},  // a key's newest put is known for ever
+            {999, Put("g.b", "1", 3), KeyPut{4}},  // a key's newest put is never forgotten
             {999, Put("g.a", "2", 1), KeyPut{2}}});
 }
 
-BOOST_AUTO_TEST_CASE(a_conflict_is_told_only_where_it_is_known) {
+BOOST_AUTO_TEST_CASE(a_conflict_is_reported_only_if_the_outcome_is_known) {
   StateMachineLimits limits;
   limits.history = seconds(10);
-  RunSteps({{0, Put("g.a", "1", 0), KeyPut{1}},
-            {5, Put("g.a", "2", 1), KeyPut{2}},
-            {9, Put("g.a", "3", 2), KeyPut{3}},
-            {9, Put("g.a", "x", 0), KeyConflict{3}},
-            {9, Put("g.a", "1", 0), KeyPut{1}},
-            {10, Put("g.a", "1", 0), OutcomeExpired{}},  // revision 1 is dropped now
-            {10, Put("g.a", "x", 0), OutcomeExpired{}},
-            {10, Put("g.a", "x", 1), KeyConflict{3}},  // could have become 2 or 3 alone: both are known
-            {10, Put("g.a", "2", 1), KeyPut{2}},
-            {15, Put("g.a", "2", 1), OutcomeExpired{}},
-            {15, Put("g.a", "x", 2), KeyConflict{3}},
-            {99, Put("g.a", "x", 2), KeyConflict{3}},  // 3 is dropped, but it is the present one
-            {99, Put("g.a", "4", 3), KeyPut{4}},
-            {99, Put("g.a", "x", 2), OutcomeExpired{}},
-            {99, Put("g.a", "3", 2), OutcomeExpired{}},
-            {99, Put("g.a", "x", 3), KeyConflict{4}},
-            {99, Put("g.b", "x", 0), KeyPut{5}},
-            {99, Put("g.b", "y", 0), KeyConflict{5}}},  // another key's history is no matter
-           limits);
+  RunSteps(
+      {{0, Put("g.a", "1", 0), KeyPut{1}},
+       {5, Put("g.a", "2", 1), KeyPut{2}},
+       {9, Put("g.a", "3", 2), KeyPut{3}},
+       {9, Put("g.a", "x", 0), KeyConflict{3}},
+       {9, Put("g.a", "1", 0), KeyPut{1}},
+       {10, Put("g.a", "1", 0), OutcomeExpired{}},  // revision 1 is dropped now
+       {10, Put("g.a", "x", 0), OutcomeExpired{}},
+       {10, Put("g.a", "x", 1), KeyConflict{3}},  // could only have become 2 or 3, and both are known
+       {10, Put("g.a", "2", 1), KeyPut{2}},
+       {15, Put("g.a", "2", 1), OutcomeExpired{}},
+       {15, Put("g.a", "x", 2), KeyConflict{3}},
+       {99, Put("g.a", "x", 2), KeyConflict{3}},  // 3 is dropped from the history, but is the current put
+       {99, Put("g.a", "4", 3), KeyPut{4}},
+       {99, Put("g.a", "x", 2), OutcomeExpired{}},
+       {99, Put("g.a", "3", 2), OutcomeExpired{}},
+       {99, Put("g.a", "x", 3), KeyConflict{4}},
+       {99, Put("g.b", "x", 0), KeyPut{5}},
+       {99, Put("g.b", "y", 0), KeyConflict{5}}},  // histories of other keys do not matter
+      limits);
 }
 
 BOOST_AUTO_TEST_CASE(a_put_that_was_refused_never_takes_effect) {
@@ -177,14 +179,14 @@
   RunSteps({{0, Put("g.a", "early", 2), KeyConflict{0}},
             {0, Put("g.a", "1", 0), KeyPut{1}},
             {0, Put("g.b", "b", 3), KeyConflict{0}},
-            {0, Put("g.a", "early", 2), KeyConflict{1}},   // again: not kept twice
-            {0, Put("g.a", "much", 9), OutcomeExpired{}},  // no more can be kept
-            {0, Put("g.a", "old", 0), KeyConflict{1}},     // needs no keeping
+            {0, Put("g.a", "early", 2), KeyConflict{1}},   // retried: not stored twice
+            {0, Put("g.a", "much", 9), OutcomeExpired{}},  // no room for another rejected put
+            {0, Put("g.a", "old", 0), KeyConflict{1}},     // does not have to be stored
             {0, Put("g.a", "2", 1), KeyPut{2}},
-            {0, Put("g.a", "early", 2), KeyConflict{2}},  // its revision has come
-            {0, Put("g.a", "3", 2), KeyPut{3}},           // another put's hasn't been refused
+            {0, Put("g.a", "early", 2), KeyConflict{2}},  // its expected revision is reached
+            {0, Put("g.a", "3", 2), KeyPut{3}},  // another put with this expected revision was not rejected
             {0, Put("g.a", "early", 2), KeyConflict{3}},
-            {0, Put("g.a", "much", 9), KeyConflict{3}},  // its place is free again
+            {0, Put("g.a", "much", 9), KeyConflict{3}},  // the stored put was released
             {0, Put("g.b", "b", 3), KeyConflict{0}}},
            limits);
 }
@@ -196,7 +198,7 @@
   std::vector<Revision> events;
 };
 
-BOOST_AUTO_TEST_CASE(a_watch_is_whole_or_too_old) {
+BOOST_AUTO_TEST_CASE(a_watch_is_complete_or_too_old) {
   StateMachineLimits limits;
   limits.history = seconds(10);
   StateMachine machine(limits);
@@ -231,7 +233,7 @@
   BOOST_TEST(machine.EventsAfter("g.", 4).events.empty());
 }
 
-BOOST_AUTO_TEST_CASE(beyond_a_bound_nothing_is_done) {
+BOOST_AUTO_TEST_CASE(commands_beyond_a_limit_change_nothing) {
   StateMachineLimits limits;
   limits.locks = limits.numbers = limits.keys = 1;
   limits.key_bytes = limits.history_bytes = 250;  // three puts of 67 to 69 bytes fit into the history
@@ -264,7 +266,7 @@
            limits);
 }
 
-// A few commands of all kinds, at a rising time.
+// Random commands of all kinds at increasing times.
 std::vector<std::pair<LoggedTime, Command>> RandomCommands(std::uint64_t seed, std::size_t count) {
   std::mt19937_64 random(seed);
   const auto pick = [&](std::uint64_t most) { return random() % most; };
@@ -319,7 +321,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(damaged_bytes_are_no_snapshot_or_one_that_works) {
+BOOST_AUTO_TEST_CASE(a_damaged_snapshot_is_refused_or_usable) {
   StateMachineLimits limits;
   limits.history = seconds(5);
   StateMachine machine(limits);
--- a/tests/coordination/watch_table_test.cpp
+++ b/tests/coordination/watch_table_test.cpp
@@ -1,4 +1,4 @@
-// Watches that wait: which are ready, which are due, and how many there may be.
+// Pending watches: which are ready, which have expired, and how many are allowed.
 #include "coordination/watch_table.hpp"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   return ids;
 }
 
-BOOST_AUTO_TEST_CASE(those_below_the_revision_are_ready_once) {
+BOOST_AUTO_TEST_CASE(watches_below_the_revision_are_ready_once) {
   WatchTable table({});
   table.Add(kStart, 1, "g.", 4, milliseconds(100));
   table.Add(kStart, 2, "g.", 5, milliseconds(100));
@@ -38,7 +38,7 @@
   BOOST_TEST(table.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(those_whose_time_is_over_come_in_the_order_of_their_ends) {
+BOOST_AUTO_TEST_CASE(expired_watches_are_returned_in_deadline_order) {
   WatchTable table({});
   table.Add(kStart, 1, "g.", 4, milliseconds(300));
   table.Add(kStart, 2, "h.", 4, milliseconds(100));
@@ -61,7 +61,7 @@
   WatchTable table(limits);
   BOOST_TEST(table.Add(kStart, 1, "g.", 4, std::chrono::hours(9)));
   BOOST_TEST((table.NextDue() == kStart + milliseconds(50)));
-  BOOST_TEST(!table.Add(kStart, 1, "g.", 5, milliseconds(1)));  // there is one of this id
+  BOOST_TEST(!table.Add(kStart, 1, "g.", 5, milliseconds(1)));  // the id is in use
   BOOST_TEST(table.Add(kStart, 2, "g.", 4, milliseconds(0)));
   BOOST_TEST(!table.Add(kStart, 3, "g.", 4, milliseconds(1)));
   table.Remove(9);
@@ -74,8 +74,8 @@
   BOOST_TEST(table.TakeReady("g.", 99).empty());
 }
 
-// Beside a table that is nothing but a list.
-BOOST_AUTO_TEST_CASE(thousands_come_and_go_as_in_a_list) {
+// Compares the table with a plain list under random operations.
+BOOST_AUTO_TEST_CASE(thousands_of_watches_match_a_plain_list) {
   struct ReferenceWatch {
     std::string group;
     Revision after = 0;
