--- a/src/coordination/coordinator.hpp
+++ b/src/coordination/coordinator.hpp
@@ -117,8 +117,8 @@
   Replica replica_;
   StateMachine state_;
   std::map<std::uint64_t, PendingCommand> pending_commands_;  // by log index
-  std::unordered_map<CallId, Call>
-      pending_reads_;  // ReadKey and WatchGroup awaiting a majority's confirmation
+  // ReadKey and WatchGroup calls awaiting a majority's confirmation.
+  std::unordered_map<CallId, Call> pending_reads_;
   WatchTable watches_;
   std::map<std::string, HoldDeadline> hold_deadlines_;  // by lock, while serving
   bool shutting_down_ = false;
--- a/src/coordination/replica.hpp
+++ b/src/coordination/replica.hpp
@@ -44,13 +44,13 @@
   Duration heartbeat_interval = std::chrono::milliseconds(80);
   Duration election_timeout_min = std::chrono::milliseconds(400),
            election_timeout_max = std::chrono::milliseconds(800);
-  Duration quorum_timeout =
-      std::chrono::milliseconds(700);  // a leader without answers from a majority for this long steps down
+  // A leader without answers from a majority for this long steps down.
+  Duration quorum_timeout = std::chrono::milliseconds(700);
   Duration resend_interval = std::chrono::milliseconds(200);  // for unanswered entries; doubles each time
   Duration resend_interval_max = std::chrono::milliseconds(1000);
-  Duration batch_delay =
-      std::chrono::milliseconds(3);           // group commit: how long entries and reads wait to be batched
-  std::size_t max_append_bytes = 256u << 10;  // per message
+  // Group commit: how long entries and reads wait to be batched.
+  Duration batch_delay = std::chrono::milliseconds(3);
+  std::size_t max_append_bytes = 256u << 10;      // per message
   std::size_t snapshot_chunk_bytes = 128u << 10;  // per message
   std::size_t max_uncommitted = 4096;             // entries; Propose() returns nullopt beyond it
   std::uint64_t max_catch_up_gap = 64;            // entries that a new voter may still be missing
@@ -112,12 +112,12 @@
   // are ignored.
   void SetTargetVoters(Time now, std::uint64_t epoch, std::vector<Member> members, ReplicaOutput& out);
   void OnMessage(Time now, const ReplicaMessage& message, ReplicaOutput& out);
-  void OnWritten(Time now, bool ok,
-                 ReplicaOutput& out);  // the write was synced, or failed and is retried
+  // The write was synced, or failed and is retried.
+  void OnWritten(Time now, bool ok, ReplicaOutput& out);
   // To be called at NextDue(), and about every 20 ms.
   void Tick(Time now, ReplicaOutput& out);
-  std::optional<Time> NextDue()
-      const;  // when batched entries or reads are sent; nullopt: at the regular tick
+  // When batched entries or reads are due to be sent; nullopt: the regular tick is enough.
+  std::optional<Time> NextDue() const;
 
   // Appends a command on a serving leader and returns its index. Whether it commits is shown by the entry
   // that is committed at that index: if that entry has the current term(), it is this command, otherwise it
--- a/src/coordination/replica_leader.cpp
+++ b/src/coordination/replica_leader.cpp
@@ -207,8 +207,8 @@
 void Replica::SendHeartbeat(Time now, Peer& peer, ReplicaOutput& out) {
   const std::uint64_t known = std::max(peer.match, log_.snapshot_index());
   peer.last_sent = now;
-  if (peer.match <
-      log_.snapshot_index()) {  // the peer's log is unknown: there is no common entry to refer to
+  // The peer's log is unknown, so there is no common entry to refer to.
+  if (peer.match < log_.snapshot_index()) {
     Send(peer.member, AppendEntries{0, 0, 0, round_, {}}, out);
     return;
   }
--- a/tests/coordination/explorer.hpp
+++ b/tests/coordination/explorer.hpp
@@ -23,8 +23,8 @@
 
 inline constexpr std::size_t kMembers = 3;
 inline constexpr auto kHoldTime = milliseconds(1500);
-inline constexpr auto kWait =
-    milliseconds(650);  // enough for a new leader to serve while an isolated one still believes that it leads
+// Enough for a new leader to serve while an isolated one still believes that it leads.
+inline constexpr auto kWait = milliseconds(650);
 inline constexpr auto kPause = milliseconds(300);            // shorter than the election timeout
 inline constexpr auto kHistory = milliseconds(1800);         // as the members keep it
 inline constexpr auto kPromisedHistory = milliseconds(900);  // as promised to callers
@@ -232,8 +232,8 @@
     Heal();
     StartAll();
     CheckStates();
-    acknowledged_revision_ =
-        std::max(acknowledged_revision_, applied_revision_);  // may have been returned to a caller
+    // An applied revision may have been returned to a caller.
+    acknowledged_revision_ = std::max(acknowledged_revision_, applied_revision_);
     for (int i = 0; i < 4 && violation_.empty(); ++i) Run(kWait);
     for (const CallerAction action :
          {CallerAction::kRead, CallerAction::kNumber, CallerAction::kWatch, CallerAction::kAcquireB}) {
--- a/tests/coordination/history_search_test.cpp
+++ b/tests/coordination/history_search_test.cpp
@@ -12,8 +12,7 @@
 namespace curlewdoor::coordination::testing {
 namespace {
 
-constexpr double kFaultSeconds = 12, kShortFaultSeconds = 1.9, kFinalReadSeconds = 10,
-                 kHistorySeconds = 6;  // seconds
+constexpr double kFaultSeconds = 12, kShortFaultSeconds = 1.9, kFinalReadSeconds = 10, kHistorySeconds = 6;
 
 struct FaultMix {
   const char* name;
