--- a/src/coordination/coordinator.hpp
+++ b/src/coordination/coordinator.hpp
@@ -1,11 +1,12 @@
-// A member's part in coordination: its replica of the log, its state machine, and, while it leads, the calls
-// that wait: commands for their entries, reads for a majority's word, watches for events, and the ends of
-// holds. Pure.
+// A member of the coordination service: its replica of the log, its state machine and, while it leads, the
+// pending calls (commands wait for their entries, reads for a majority's confirmation, watches for events)
+// and the deadlines of holds. Does no I/O.
 //
-// Holds: the caller counts hold_ms from its sending. Here a hold ends hold_ms after the member that leads has
-// applied it, by this process's steady clock, so later than the caller's. A new leader knows of no earlier
-// time, and begins each hold anew when it begins to serve. The end itself is a command in the log, which does
-// nothing if the hold was renewed before it.
+// A hold is the time for which a lock belongs to its holder. The caller counts hold_ms from when it sent the
+// call. Here a hold ends hold_ms after the leader has applied the command, by this process's steady clock,
+// and therefore later than for the caller. A new leader knows no earlier start, so it restarts each hold when
+// it starts to serve. The end itself is a command in the log, which does nothing if the hold was renewed
+// before.
 #pragma once
 
 #include <cstdint>
@@ -22,101 +23,108 @@
 
 namespace curlewdoor::coordination {
 
+// Limits of a member.
 struct CoordinatorOptions {
   ReplicaOptions replica;
-  Limits limits;
-  std::uint64_t compact_after = 2048;  // entries since the last snapshot
-  std::size_t compact_bytes = 512u << 10;
-  std::size_t most_calls = 4096;  // commands and reads that wait
+  StateMachineLimits limits;
+  std::uint64_t compact_after_entries = 2048;  // entries since the last snapshot
+  std::size_t compact_after_bytes = 512u << 10;
+  std::size_t max_pending_calls = 4096;  // commands and reads
   WatchTable::Limits watches;
-  std::size_t watch_bytes = 64u << 10;  // of names and values in one answer; the rest comes with the next
-  // For tests of the tests: a coordinator that does something wrong.
+  std::size_t max_watch_bytes = 64u << 10;  // names and values in one reply; the next watch returns the rest
+  // Injected faults, which the tests must detect.
   enum class Fault : std::uint8_t {
     kNone,
-    kNewLeaderDoesNotWait,  // a hold of an earlier leader is over at once
-    kHoldFromSending,       // a hold ends earlier than the caller's own count
-    kRenewalNotNoted,       // a hold's end is counted from its begin
-    kRefusedAfterProposal,  // NotServed where a command may yet be committed
-    kReadWithoutAsking,     // a leader answers from what it has
-    kReadAtFollower,        // anyone answers from what it has
-    kWatchTellsNewest,      // a watch is told the newest event alone
-    kWatchEndsAhead,        // a watch's answer names a revision above its events
-    kSnapshotNotRestored    // a leader's snapshot is taken for the log, not for the state
+    kNewLeaderExpiresHolds,    // ends the holds of an earlier leader at once
+    kHoldExpiresEarly,         // a hold ends before the time that its caller counts
+    kRenewalIgnored,           // a renewal does not extend the hold
+    kRefusedAfterProposal,     // NotServed for a command that may still be committed
+    kReadWithoutConfirmation,  // a leader answers reads without confirming its leadership
+    kReadAtFollower,           // any member answers reads from its own state
+    kWatchReturnsNewestOnly,   // a watch returns only the newest event
+    kWatchRevisionAhead,       // a watch returns a revision above its events
+    kSnapshotNotRestored       // a received snapshot is installed in the log, but not in the state machine
   } fault = Fault::kNone;
 };
 
-// Names a call until it is answered; the owner's.
+// Identifies a call until it is answered. Chosen by the caller of Coordinator.
 using CallId = std::uint64_t;
 
-struct CoordinatorOut {
-  std::vector<ReplicaSending> sends;
-  std::optional<Records> write;  // then OnWritten()
+// What the caller of a Coordinator must do.
+struct CoordinatorOutput {
+  std::vector<OutgoingMessage> messages;
+  std::optional<RecordBatch> write;  // to be followed by OnWritten()
   std::vector<std::pair<CallId, Reply>> replies;
-  bool leader_changed = false;  // leader() is another one
-  std::vector<std::string> notes;
+  bool leader_changed = false;  // the leader has changed, or this one starts to serve
+  std::vector<std::string> log_lines;
 };
 
+// One member. See the top of this file.
 class Coordinator {
  public:
   Coordinator(Member self, ReplicaState from_disk, CoordinatorOptions options, std::uint64_t seed);
 
-  void Found(Time now, std::vector<Member> voters, CoordinatorOut& out);
-  void SetTarget(Time now, std::uint64_t epoch, std::vector<Member> members, CoordinatorOut& out);
-  void OnMessage(Time now, const ReplicaMessage& message, CoordinatorOut& out);
-  void OnWritten(Time now, bool ok, CoordinatorOut& out);
-  void Tick(Time now, CoordinatorOut& out);  // at NextDue(), and about every 50 ms
+  // As in Replica.
+  void Bootstrap(Time now, std::vector<Member> voters, CoordinatorOutput& out);
+  void SetTargetVoters(Time now, std::uint64_t epoch, std::vector<Member> members, CoordinatorOutput& out);
+  void OnMessage(Time now, const ReplicaMessage& message, CoordinatorOutput& out);
+  void OnWritten(Time now, bool ok, CoordinatorOutput& out);
+  void Tick(Time now, CoordinatorOutput& out);  // at NextDue(), and about every 50 ms
   std::optional<Time> NextDue() const;
 
-  // Ends in one reply with this id, at once or later; a command's or a read's within a few seconds, unless
-  // Forget() comes before.
-  void OnCall(Time now, CallId id, const Call& call, CoordinatorOut& out);
-  void Forget(CallId id);  // nobody waits for its reply; a command takes effect all the same
-  // The process is about to end: hands leadership on. leaving() stays; done once it leads no more.
-  void Leave(Time now, CoordinatorOut& out);
+  // Leads to one reply with this id, at once or later, unless Forget() is called first. A command or a read
+  // is answered within a few seconds.
+  void OnCall(Time now, CallId id, const Call& call, CoordinatorOutput& out);
+  void Forget(CallId id);  // drops the reply; a command still takes effect
+  // Transfers leadership because the process is about to end. Complete once this member no longer leads.
+  void BeginShutdown(Time now, CoordinatorOutput& out);
 
   const Replica& replica() const { return replica_; }
   const StateMachine& state() const { return state_; }
-  std::size_t waiting() const { return commands_.size() + reads_.size() + watches_.size(); }
+  std::size_t pending() const { return pending_commands_.size() + pending_reads_.size() + watches_.size(); }
 
  private:
-  struct Waiting {  // a command, for the entry at its index
+  struct PendingCommand {  // a command that waits for the entry at its index
     CallId id = 0;
     std::uint64_t term = 0;
   };
-  struct Holding {  // until when a hold lasts here at least
-    Fence fence = 0;
+  struct HoldDeadline {  // the earliest time at which this leader ends a hold
+    FencingToken fence = 0;
     std::uint64_t renewals = 0;
-    Time ends{};
-    bool end_proposed = false;
+    Time deadline{};
+    bool expiry_proposed = false;
   };
 
-  void TakeSnapshot(const std::string& snapshot, std::vector<std::string>& notes);
-  void Settle(Time now, ReplicaOut& from, CoordinatorOut& out);
-  void ApplyEntry(Time now, const CommittedEntry& entry, CoordinatorOut& out);
-  void NoteHold(Time now, const std::string& lock);
-  void BeginToServe(Time now);
-  void StopServing(CoordinatorOut& out);
-  void AnswerRead(Time now, CallId id, CoordinatorOut& out);
-  void AnswerWatch(CallId id, const std::string& group, Revision after, CoordinatorOut& out);
-  void AnswerWatchers(const std::string& group, CoordinatorOut& out);
-  void ExpireHolds(Time now, ReplicaOut& from);
-  void MaybeCompact(Time now, ReplicaOut& from);
-  void Execute(Time now, CallId id, const Command& command, ReplicaOut& from, CoordinatorOut& out);
-  void AskToRead(Time now, CallId id, const Call& call, ReplicaOut& from, CoordinatorOut& out);
-  NotServed NotHere() const;
-  bool Does(CoordinatorOptions::Fault fault) const { return options_.fault == fault; }
+  void RestoreSnapshot(const std::string& snapshot, std::vector<std::string>& log_lines);
+  void HandleReplicaOutput(Time now, ReplicaOutput& replica_output, CoordinatorOutput& out);
+  void ApplyEntry(Time now, const CommittedEntry& entry, CoordinatorOutput& out);
+  void UpdateHoldDeadline(Time now, const std::string& lock);
+  void StartServing(Time now);
+  void StopServing(CoordinatorOutput& out);
+  void ReplyToRead(Time now, CallId id, CoordinatorOutput& out);
+  void ReplyToWatch(CallId id, const std::string& group, Revision after, CoordinatorOutput& out);
+  void ReplyToReadyWatches(const std::string& group, CoordinatorOutput& out);
+  void ExpireHolds(Time now, ReplicaOutput& replica_output);
+  void MaybeCompact(Time now, ReplicaOutput& replica_output);
+  void Execute(Time now, CallId id, const Command& command, ReplicaOutput& replica_output,
+               CoordinatorOutput& out);
+  void StartRead(Time now, CallId id, const Call& call, ReplicaOutput& replica_output,
+                 CoordinatorOutput& out);
+  NotServed NotServedReply() const;
+  bool HasFault(CoordinatorOptions::Fault fault) const { return options_.fault == fault; }
 
   const CoordinatorOptions options_;
   Replica replica_;
   StateMachine state_;
-  std::map<std::uint64_t, Waiting> commands_;  // by index of the log
-  std::unordered_map<CallId, Call> reads_;     // ReadKey and WatchGroup that wait for a majority
+  std::map<std::uint64_t, PendingCommand> pending_commands_;  // by log index
+  // ReadKey and WatchGroup calls awaiting a majority's confirmation.
+  std::unordered_map<CallId, Call> pending_reads_;
   WatchTable watches_;
-  std::map<std::string, Holding> holdings_;  // by lock, while it serves
-  bool leaving_ = false;
-  // The replica's snapshot can't be read here: the state is not the log's. It answers nothing and hands
-  // leadership on, until a snapshot comes that can be read.
-  bool unreadable_ = false;
+  std::map<std::string, HoldDeadline> hold_deadlines_;  // by lock, while serving
+  bool shutting_down_ = false;
+  // The replica's snapshot could not be restored, so the state does not match the log. The member serves no
+  // calls and transfers leadership away until it receives a readable snapshot.
+  bool snapshot_unreadable_ = false;
 };
 
 }  // namespace curlewdoor::coordination
--- a/tests/coordination/watch_table_test.cpp
+++ b/tests/coordination/watch_table_test.cpp
@@ -1,4 +1,4 @@
-// Watches that wait: which are ready, which are due, and how many there may be.
+// Pending watches: which are ready, which have expired, and how many are allowed.
 #include "coordination/watch_table.hpp"
 
 #include <algorithm>
@@ -15,14 +15,14 @@
 
 constexpr Time kStart{std::chrono::hours(1)};
 
-Ids IdsOf(const std::vector<WatchTable::Waiter>& waiters) {
+Ids IdsOf(const std::vector<WatchTable::Watch>& waiters) {
   Ids ids;
   for (const auto& waiter : waiters) ids.push_back(waiter.id);
   std::sort(ids.begin(), ids.end());
   return ids;
 }
 
-BOOST_AUTO_TEST_CASE(those_below_the_revision_are_ready_once) {
+BOOST_AUTO_TEST_CASE(watches_below_the_revision_are_ready_once) {
   WatchTable table({});
   table.Add(kStart, 1, "g.", 4, milliseconds(100));
   table.Add(kStart, 2, "g.", 5, milliseconds(100));
@@ -38,14 +38,14 @@
   BOOST_TEST(table.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(those_whose_time_is_over_come_in_the_order_of_their_ends) {
+BOOST_AUTO_TEST_CASE(expired_watches_are_returned_in_deadline_order) {
   WatchTable table({});
   table.Add(kStart, 1, "g.", 4, milliseconds(300));
   table.Add(kStart, 2, "h.", 4, milliseconds(100));
   table.Add(kStart, 3, "g.", 9, milliseconds(200));
   BOOST_TEST((table.NextDue() == kStart + milliseconds(100)));
-  BOOST_TEST(table.TakeDue(kStart + milliseconds(99)).empty());
-  const auto due = table.TakeDue(kStart + milliseconds(200));
+  BOOST_TEST(table.TakeExpired(kStart + milliseconds(99)).empty());
+  const auto due = table.TakeExpired(kStart + milliseconds(200));
   BOOST_REQUIRE_EQUAL(due.size(), 2u);
   BOOST_TEST(due[0].id == 2u);
   BOOST_TEST(due[1].id == 3u);
@@ -57,11 +57,11 @@
 BOOST_AUTO_TEST_CASE(bounds) {
   WatchTable::Limits limits;
   limits.watches = 2;
-  limits.longest_wait = milliseconds(50);
+  limits.max_wait = milliseconds(50);
   WatchTable table(limits);
   BOOST_TEST(table.Add(kStart, 1, "g.", 4, std::chrono::hours(9)));
   BOOST_TEST((table.NextDue() == kStart + milliseconds(50)));
-  BOOST_TEST(!table.Add(kStart, 1, "g.", 5, milliseconds(1)));  // there is one of this id
+  BOOST_TEST(!table.Add(kStart, 1, "g.", 5, milliseconds(1)));  // the id is in use
   BOOST_TEST(table.Add(kStart, 2, "g.", 4, milliseconds(0)));
   BOOST_TEST(!table.Add(kStart, 3, "g.", 4, milliseconds(1)));
   table.Remove(9);
@@ -74,9 +74,9 @@
   BOOST_TEST(table.TakeReady("g.", 99).empty());
 }
 
-// Beside a table that is nothing but a list.
-BOOST_AUTO_TEST_CASE(thousands_come_and_go_as_in_a_list) {
-  struct Listed {
+// Compares the table with a plain list under random operations.
+BOOST_AUTO_TEST_CASE(thousands_of_watches_match_a_plain_list) {
+  struct ReferenceWatch {
     std::string group;
     Revision after = 0;
     Time due{};
@@ -84,15 +84,15 @@
   std::mt19937_64 random(7);
   const auto below = [&](std::uint64_t n) { return random() % n; };
   WatchTable table({});
-  std::map<std::uint64_t, Listed> list;
+  std::map<std::uint64_t, ReferenceWatch> list;
   std::map<std::string, Revision> revisions;
   Time now = kStart;
   std::uint64_t next_id = 1;
   std::size_t most = 0;
-  const auto take = [&](const auto& whether) {
+  const auto take = [&](const auto& matches) {
     Ids ids;
     for (const auto& [id, each] : list)
-      if (whether(each)) ids.push_back(id);
+      if (matches(each)) ids.push_back(id);
     for (const std::uint64_t id : ids) list.erase(id);
     return ids;
   };
@@ -111,17 +111,18 @@
     } else if (what < 88) {
       const Revision revision = ++revisions[group];
       const Ids ready =
-          take([&](const Listed& each) { return each.group == group && each.after < revision; });
+          take([&](const ReferenceWatch& each) { return each.group == group && each.after < revision; });
       BOOST_REQUIRE(IdsOf(table.TakeReady(group, revision)) == ready);
     } else {
       now += milliseconds(below(10));
-      BOOST_REQUIRE(IdsOf(table.TakeDue(now)) == take([&](const Listed& each) { return each.due <= now; }));
+      BOOST_REQUIRE(IdsOf(table.TakeExpired(now)) ==
+                    take([&](const ReferenceWatch& each) { return each.due <= now; }));
     }
     BOOST_REQUIRE_EQUAL(table.size(), list.size());
     most = std::max(most, list.size());
   }
   BOOST_TEST(most > 2000u);
-  BOOST_TEST(IdsOf(table.TakeAll()) == take([](const Listed&) { return true; }),
+  BOOST_TEST(IdsOf(table.TakeAll()) == take([](const ReferenceWatch&) { return true; }),
              boost::test_tools::per_element());
 }
 
