--- a/cmake/system.cmake
+++ b/cmake/system.cmake
@@ -53,6 +53,6 @@
   endif()
 endfunction()
 
-foreach(package settings events policy directory registry agreement coordination storage choosing trying system systemkit)
+foreach(package settings events policy service_registry registry agreement coordination storage choosing trying system systemkit)
   include(${CMAKE_CURRENT_SOURCE_DIR}/src/${package}/package.cmake OPTIONAL)
 endforeach()
--- a/fuzz/calls.cpp
+++ b/fuzz/calls.cpp
@@ -2,12 +2,12 @@
 #include <optional>
 #include <string>
 
-#include "directory/command.hpp"
+#include "service_registry/command.hpp"
 #include "system/command.hpp"
 #include "target.hpp"
 #include "util/address.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 void CheckBeat(const Beat& beat) {
   FUZZ_REQUIRE(!beat.id.empty() && beat.id.size() <= kMostName);
@@ -53,9 +53,9 @@
   }
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
 
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  curlewdoor::directory::Check(curlewdoor::fuzz::View(data, size));
+  curlewdoor::service_registry::Check(curlewdoor::fuzz::View(data, size));
   return 0;
 }
--- a/fuzz/hosts_batch.cpp
+++ b/fuzz/hosts_batch.cpp
@@ -2,12 +2,12 @@
 #include <chrono>
 #include <string>
 
-#include "directory/codec.hpp"
-#include "directory/command.hpp"
-#include "directory/directory.hpp"
+#include "service_registry/codec.hpp"
+#include "service_registry/command.hpp"
+#include "service_registry/service_registry.hpp"
 #include "target.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 void Check(std::string_view bytes) {
   const Time now = Time(std::chrono::hours(1000));
@@ -31,9 +31,9 @@
   FUZZ_REQUIRE(Decode(Encode(merged.All(), now), now));
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
 
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  curlewdoor::directory::Check(curlewdoor::fuzz::View(data, size));
+  curlewdoor::service_registry::Check(curlewdoor::fuzz::View(data, size));
   return 0;
 }
--- a/src/console/storage_commands.cpp
+++ b/src/console/storage_commands.cpp
@@ -13,9 +13,9 @@
 #include "console/table.hpp"
 #include "coordination/replica_message.hpp"
 #include "coordination/state_machine.hpp"
-#include "directory/codec.hpp"
 #include "policy/policy.hpp"
 #include "registry/record.hpp"
+#include "service_registry/codec.hpp"
 #include "storage/inspect.hpp"
 #include "system/json.hpp"
 #include "util/number.hpp"
@@ -60,7 +60,7 @@
 using RecordsByKey = std::map<std::string, std::string, std::less<>>;
 
 bool AreHosts(std::string_view bytes) {
-  return directory::Decode(bytes, std::chrono::steady_clock::now()).has_value();
+  return service_registry::Decode(bytes, std::chrono::steady_clock::now()).has_value();
 }
 
 bool AreLeaves(std::string_view bytes) {
--- a/src/registry/package.cmake
+++ b/src/registry/package.cmake
@@ -7,5 +7,5 @@
 system_test(registry_test tests/registry/registry_test.cpp curlewdoor_registry)
 if(NOT CURLEWDOOR_SANITIZE)  # many seeds
   system_test(registry_search_test tests/registry/registry_search_test.cpp curlewdoor_registry)
-  system_test(return_search_test tests/registry/return_search_test.cpp curlewdoor_registry curlewdoor_directory)
+  system_test(return_search_test tests/registry/return_search_test.cpp curlewdoor_registry curlewdoor_service_registry)
 endif()
--- a/src/registry/watermark.hpp
+++ b/src/registry/watermark.hpp
@@ -2,8 +2,8 @@
 //
 // What has left is forgotten after some time, and a process that was stopped, cut off or restarted meanwhile
 // would bring it back. So each claim that a host is here is stamped with the watermark of the process that
-// read the host's beat, or had its list proved (directory/directory.hpp), and claims whose stamps are too far
-// behind aren't taken.
+// read the host's beat, or had its list proved (service_registry/service_registry.hpp), and claims whose
+// stamps are too far behind aren't taken.
 //
 // A member raises it once a majority of the epoch's members, voting, hold the present one on disk and the
 // period has passed here. So no watermark is anywhere that is more than one above what a majority holds, and
--- a/src/directory/by_service.cpp
+++ b/src/service_registry/by_service.cpp
@@ -1,8 +1,8 @@
-#include "directory/by_service.hpp"
+#include "service_registry/by_service.hpp"
 
 #include <algorithm>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 namespace {
 
 auto Lower(std::vector<Entry>& entries, const std::string& id) {
@@ -50,4 +50,4 @@
   service_of_[entry.id] = entry.service;
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/by_service.hpp
+++ b/src/service_registry/by_service.hpp
@@ -7,9 +7,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "directory/directory.hpp"
+#include "service_registry/service_registry.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 class ByService {
  public:
@@ -32,4 +32,4 @@
   std::unordered_map<std::string, std::string> service_of_;  // by id
 };
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/codec.cpp
+++ b/src/service_registry/codec.cpp
@@ -1,4 +1,4 @@
-#include "directory/codec.hpp"
+#include "service_registry/codec.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 #include "util/address.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 namespace {
 
 using std::chrono::duration_cast;
@@ -116,4 +116,4 @@
   }
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/codec.hpp
+++ b/src/service_registry/codec.hpp
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "directory/directory.hpp"
+#include "service_registry/service_registry.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 inline constexpr std::size_t kMostBatch = 8 * 1024 * 1024;  // bytes; kMostEntries of the longest fit in
 
@@ -20,4 +20,4 @@
 // Never throws: nullopt if the bytes are cut, too long, foreign, or hold an entry beyond a bound.
 std::optional<std::vector<Entry>> Decode(std::string_view bytes, Time now);
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/command.cpp
+++ b/src/service_registry/command.cpp
@@ -1,12 +1,12 @@
-#include "directory/command.hpp"
+#include "service_registry/command.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "directory/json_body.hpp"
+#include "service_registry/json_body.hpp"
 #include "util/address.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 namespace {
 
 constexpr std::string_view kInstances = "/v1/instances/";
@@ -74,4 +74,4 @@
   throw CallError(404, "path: no such call");
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/command.hpp
+++ b/src/service_registry/command.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <variant>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 inline constexpr std::size_t kMostBeat = 16 * 1024;  // bytes of a host's body
 inline constexpr int kMostDepth = 16;                // objects and arrays within one another
@@ -54,4 +54,4 @@
 // `path` may carry a query, which is ignored. Throws CallError.
 Command Decode(std::string_view method, std::string_view path, std::string body);
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/heartbeat_targets.cpp
+++ b/src/service_registry/heartbeat_targets.cpp
@@ -1,8 +1,8 @@
-#include "directory/heartbeat_targets.hpp"
+#include "service_registry/heartbeat_targets.hpp"
 
 #include "util/hash.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 void HeartbeatTargets::SetGateways(const std::vector<Gateway>& gateways) {
   by_zone_.clear();
@@ -27,4 +27,4 @@
   return best->address;
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/heartbeat_targets.hpp
+++ b/src/service_registry/heartbeat_targets.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 class HeartbeatTargets {
  public:
@@ -36,4 +36,4 @@
   std::map<std::string, std::vector<Target>, std::less<>> by_zone_;
 };
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/journal.hpp
+++ b/src/service_registry/journal.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <utility>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 template <class Event>
 class Journal {
@@ -53,4 +53,4 @@
   std::deque<Event> events_;
 };
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/json_body.cpp
+++ b/src/service_registry/json_body.cpp
@@ -1,10 +1,10 @@
-#include "directory/json_body.hpp"
+#include "service_registry/json_body.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 namespace {
 
 // Before it is parsed: cJSON goes deeper with each bracket.
@@ -83,4 +83,4 @@
   return found;
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/json_body.hpp
+++ b/src/service_registry/json_body.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <string_view>
 
-#include "directory/command.hpp"
+#include "service_registry/command.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 // Throws CallError with status 400.
 [[noreturn]] void BadCall(const std::string& text);
@@ -52,4 +52,4 @@
   std::unique_ptr<cJSON, Free> json_;
 };
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/directory.cpp
+++ b/src/service_registry/service_registry.cpp
@@ -1,9 +1,9 @@
-#include "directory/directory.hpp"
+#include "service_registry/service_registry.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 namespace {
 
 auto Said(const Entry& entry) {
@@ -273,4 +273,4 @@
   for (const auto& other : others) SetGone(now, entries_.find(other));
 }
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/directory/directory.hpp
+++ b/src/service_registry/service_registry.hpp
@@ -29,10 +29,10 @@
 #include <utility>
 #include <vector>
 
-#include "directory/command.hpp"
-#include "directory/journal.hpp"
+#include "service_registry/command.hpp"
+#include "service_registry/journal.hpp"
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
@@ -195,4 +195,4 @@
   std::uint64_t refused_ = 0;
 };
 
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/src/system/command.cpp
+++ b/src/system/command.cpp
@@ -17,7 +17,7 @@
 std::string NameIn(std::string_view text, const char* of) {
   const auto name = DecodeName(text);
   if (!name || name->empty() || name->size() > kMostTenant)
-    throw directory::CallError(400, std::string(of) + ": no such name");
+    throw service_registry::CallError(400, std::string(of) + ": no such name");
   return *name;
 }
 
@@ -71,12 +71,12 @@
   if (!path.starts_with(kReportPaths)) return std::nullopt;
   path.remove_prefix(kReportPaths.size());
   if (path.starts_with(kForgetPath)) {
-    if (method != "POST") throw directory::CallError(405, "method: not POST");
+    if (method != "POST") throw service_registry::CallError(405, "method: not POST");
     return ForgetMember{NameIn(path.substr(kForgetPath.size()), "member"), query == kForced};
   }
   auto command = Find(path);
-  if (!command) throw directory::CallError(404, "path: no such call");
-  if (method != "GET") throw directory::CallError(405, "method: not GET");
+  if (!command) throw service_registry::CallError(404, "path: no such call");
+  if (method != "GET") throw service_registry::CallError(405, "method: not GET");
   return command;
 }
 
--- a/src/system/command.hpp
+++ b/src/system/command.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <variant>
 
-#include "directory/command.hpp"
+#include "service_registry/command.hpp"
 
 namespace curlewdoor::system {
 
@@ -32,9 +32,8 @@
 inline constexpr std::string_view kForgetPath = "core/forget/";  // behind it, and the name; forced: kForced
 inline constexpr std::string_view kForced = "?forced=yes";
 
-// nullopt: the path is none of these, and directory::Decode() has it. A query is ignored but for kForced.
-// Throws
-// directory::CallError.
+// nullopt: the path is none of these, and service_registry::Decode() has it. A query is ignored but for
+// kForced. Throws service_registry::CallError.
 std::optional<ReportCommand> DecodeReport(std::string_view method, std::string_view path);
 
 // A name as it stands in a path, and back; nullopt: no such text.
--- a/src/system/coordination_http.cpp
+++ b/src/system/coordination_http.cpp
@@ -5,16 +5,16 @@
 #include <utility>
 #include <variant>
 
-#include "directory/json_body.hpp"
+#include "service_registry/json_body.hpp"
 #include "system/json.hpp"
 
 namespace curlewdoor::system {
 namespace {
 
 using namespace coordination;
-using directory::BadCall;
-using directory::CallError;
-using directory::JsonBody;
+using service_registry::BadCall;
+using service_registry::CallError;
+using service_registry::JsonBody;
 
 constexpr std::string_view kLocks = "/v1/locks/", kNumbers = "/v1/numbers/", kCells = "/v1/cells/",
                            kWatches = "/v1/watch/";
@@ -35,7 +35,7 @@
   return std::string(text);
 }
 
-std::uint64_t WholeIn(const directory::JsonFields& fields, const char* name, double absent,
+std::uint64_t WholeIn(const service_registry::JsonFields& fields, const char* name, double absent,
                       std::uint64_t most) {
   return static_cast<std::uint64_t>(fields.Whole(name, absent, static_cast<double>(most)));
 }
--- a/src/system/front_in_force.cpp
+++ b/src/system/front_in_force.cpp
@@ -48,20 +48,20 @@
   return *service;
 }
 
-void Front::SetHosts(const directory::ByService& hosts) {
+void Front::SetHosts(const service_registry::ByService& hosts) {
   const TimePoint now = Now();
   std::unordered_map<HostId, HostInfo, IdHash> known;
   std::unordered_map<std::string, HostId> ids;
   for (auto& [name, service] : services_) service->known = false;
   for (const auto& [name, entries] : hosts.all()) {
     std::vector<choosing::Host> usable;
-    for (const directory::Entry& entry : entries) {
+    for (const service_registry::Entry& entry : entries) {
       const auto found = ids_.find(entry.id);
       const HostId id = found != ids_.end() ? found->second : HostId{next_host_++};
       const auto address = ParseAddress(entry.address);
       if (!address) continue;
       ids.emplace(entry.id, id);
-      const bool leaves = entry.state != directory::HostState::kReady;
+      const bool leaves = entry.state != service_registry::HostState::kReady;
       known[id] = HostInfo{entry.id, name, *address, leaves};
       if (leaves) {
         // What waits for a connection to it goes elsewhere: nothing new arrives there.
--- a/src/system/message.hpp
+++ b/src/system/message.hpp
@@ -30,7 +30,7 @@
   std::int64_t asked_us = 0;
   std::int64_t told_us = -1;  // below 0: a question
 };
-struct Hosts {  // entries of the directory (directory/codec.hpp) that have changed
+struct Hosts {  // entries of the directory (service_registry/codec.hpp) that have changed
   std::string batch;
 };
 struct Refreshed {  // hosts that have beaten and said nothing new: id, sequence
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -202,7 +202,8 @@
   if (ticks_ % 4 == 0) LookAtRedundancy();
   if (had_majority_ && ticks_ % 4 == 0) LookWhoIsAway();
   // Silence is said by who hears the core, and not before it has listened for long enough.
-  const auto silent = std::chrono::duration_cast<directory::Duration>(settings_.heartbeat * kSilentBeats);
+  const auto silent =
+      std::chrono::duration_cast<service_registry::Duration>(settings_.heartbeat * kSilentBeats);
   if (had_majority_ && ticks_ % 4 == 0 && now - started_at_ > silent) {
     directory_.Silence(now, silent);
   }
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -15,15 +15,15 @@
 
 #include "agreement/core.hpp"
 #include "counting/held_counts.hpp"
-#include "directory/by_service.hpp"
-#include "directory/command.hpp"
-#include "directory/directory.hpp"
-#include "directory/heartbeat_targets.hpp"
 #include "fleet/machine.hpp"
 #include "net/fleet_link.hpp"
 #include "registry/lease.hpp"
 #include "registry/replica.hpp"
 #include "registry/watermark.hpp"
+#include "service_registry/by_service.hpp"
+#include "service_registry/command.hpp"
+#include "service_registry/heartbeat_targets.hpp"
+#include "service_registry/service_registry.hpp"
 #include "settings/settings.hpp"
 #include "storage/storage.hpp"
 #include "system/call_door.hpp"
@@ -132,10 +132,10 @@
 
   // Calls from outside.
   void OnCall(CallDoor::Call call);
-  void Execute(RequestId id, const directory::Beat& beat);
-  void Execute(RequestId id, const directory::Leave& leave);
-  void Execute(RequestId id, directory::PutConfig& put);
-  void Execute(RequestId id, const directory::ReadConfig& read);
+  void Execute(RequestId id, const service_registry::Beat& beat);
+  void Execute(RequestId id, const service_registry::Leave& leave);
+  void Execute(RequestId id, service_registry::PutConfig& put);
+  void Execute(RequestId id, const service_registry::ReadConfig& read);
   void Execute(RequestId id, const ReportCore& report);  // and the rest: report.cpp
   void Execute(RequestId id, const ReportHosts& report);
   void Execute(RequestId id, const ReportTenant& report);
@@ -146,7 +146,7 @@
   void Execute(RequestId id, const ForgetMember& order);
   void ReplyReport(RequestId id, const std::string& json);
   void ReplyBeat(RequestId id);
-  void ReplyRefreshed(RequestId id, const directory::Beat& beat);
+  void ReplyRefreshed(RequestId id, const service_registry::Beat& beat);
   void UpdateHeartbeatTargets();
   void ReplyJson(RequestId id, int status, const std::string& body);
   // Where the answer to a call goes that another gateway has passed on.
@@ -308,9 +308,9 @@
   std::uint64_t epoch_ = 0;
   std::vector<CoreMember> members_;  // of the core, in `epoch_`
 
-  directory::Directory directory_;
-  directory::ByService by_service_;
-  directory::HeartbeatTargets heartbeat_targets_;
+  service_registry::Directory directory_;
+  service_registry::ByService by_service_;
+  service_registry::HeartbeatTargets heartbeat_targets_;
   std::uint64_t told_hosts_ = 0;  // of the directory's journal
   std::vector<std::pair<std::string, std::uint64_t>> refreshed_;
   std::vector<RequestId> owed_beats_;  // answered with the next news
--- a/src/system/node_calls.cpp
+++ b/src/system/node_calls.cpp
@@ -13,9 +13,9 @@
     if (const auto report = DecodeReport(call.method, call.path))
       return std::visit([&](const auto& each) { Execute(call.id, each); }, *report);
     if (TakeCoordinationCall(call)) return;
-    auto command = directory::Decode(call.method, call.path, std::move(call.body));
+    auto command = service_registry::Decode(call.method, call.path, std::move(call.body));
     std::visit([&](auto& each) { Execute(call.id, each); }, command);
-  } catch (const directory::CallError& error) {
+  } catch (const service_registry::CallError& error) {
     Say(Event::kBeatRefused, call.path + ": " + error.text);
     control_.Reply(call.id, error.status, error.text + "\n", "text/plain");
   }
@@ -24,7 +24,7 @@
 void Node::ReplyBeat(RequestId id) { control_.Reply(id, 200, "{}", "application/json"); }
 
 // A gateway that leaves, or hears nothing of the core, hands its hosts on.
-void Node::ReplyRefreshed(RequestId id, const directory::Beat& beat) {
+void Node::ReplyRefreshed(RequestId id, const service_registry::Beat& beat) {
   const std::string_view without =
       leaving_ || !InContact() ? std::string_view(settings_.node_name) : std::string_view();
   const auto target = heartbeat_targets_.For(beat.id, beat.zone, without);
@@ -36,7 +36,7 @@
 
 // Ports are alike on all machines.
 void Node::UpdateHeartbeatTargets() {
-  std::vector<directory::HeartbeatTargets::Gateway> gateways;
+  std::vector<service_registry::HeartbeatTargets::Gateway> gateways;
   const auto add = [&](const fleet::Record& record) {
     if (!record.present()) return;
     const Address control{record.address.ip, settings_.listen_addresses.control_plane->port};
@@ -48,7 +48,7 @@
   heartbeat_targets_.SetGateways(gateways);
 }
 
-void Node::Execute(RequestId id, const directory::Beat& beat) {
+void Node::Execute(RequestId id, const service_registry::Beat& beat) {
   // The host has given up waiting for an answer long ago, and may have left since.
   if (!beat.draining && pause_watch_.InputMayBeOld(Now())) return control_.Reply(id, 503);
   const auto* known = directory_.Find(beat.id);
@@ -60,12 +60,12 @@
   Replicate(id, beat.id, beat.draining);
 }
 
-void Node::Execute(RequestId id, const directory::Leave& leave) {
+void Node::Execute(RequestId id, const service_registry::Leave& leave) {
   directory_.Apply(Now(), leave);
   Replicate(id, leave.id, true);
 }
 
-void Node::Execute(RequestId id, directory::PutConfig& put) {
+void Node::Execute(RequestId id, service_registry::PutConfig& put) {
   std::uint64_t version = 0;
   try {
     checked_ = policy::Policy::Read(put.text);
@@ -86,7 +86,7 @@
   core_calls_.Begin(Now(), next_number_++, std::move(call));
 }
 
-void Node::Execute(RequestId id, const directory::ReadConfig&) {
+void Node::Execute(RequestId id, const service_registry::ReadConfig&) {
   CoreCalls::Call call;
   call.answer = [this, id](int status, const std::string& body) { ReplyJson(id, status, body); };
   core_calls_.Begin(Now(), next_number_++, std::move(call));
--- a/src/system/node_coordination.cpp
+++ b/src/system/node_coordination.cpp
@@ -20,7 +20,7 @@
 std::optional<coordination::Call> Node::ReadCoordinationCall(const CallDoor::Call& call) {
   try {
     return DecodeCoordinationCall(call.method, call.path, call.body);
-  } catch (const directory::CallError& error) {
+  } catch (const service_registry::CallError& error) {
     ++coordination_ends_.answered[error.status];
     throw;
   }
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "agreement/codec.hpp"
-#include "directory/codec.hpp"
+#include "service_registry/codec.hpp"
 #include "storage/memory_storage.hpp"
 #include "system/json.hpp"
 #include "system/node.hpp"
@@ -68,8 +68,8 @@
     if (const auto gateways = storage_->Read(kGatewaysKey))
       least_gateways_ = std::clamp(std::atoi(gateways->c_str()), 0, kMostGateways);
     if (const auto hosts = storage_->Read(kHostsKey))
-      if (const auto entries = directory::Decode(*hosts, Now()))
-        for (const directory::Entry& entry : *entries) directory_.Merge(Now(), entry);
+      if (const auto entries = service_registry::Decode(*hosts, Now()))
+        for (const service_registry::Entry& entry : *entries) directory_.Merge(Now(), entry);
   } else {
     read.reset();
     log.emplace();
@@ -237,10 +237,10 @@
 void Node::KeepHosts() {
   if (!storage_ || keeping_hosts_ || (kept_hosts_ == directory_.version() && kept_gateways_ == gateways_))
     return;
-  std::vector<directory::Entry> entries;
-  for (directory::Entry& entry : directory_.All())
+  std::vector<service_registry::Entry> entries;
+  for (service_registry::Entry& entry : directory_.All())
     if (!entry.gone()) entries.push_back(std::move(entry));
-  if (!storage_->Write(kHostsWrite, {{kHostsKey, directory::Encode(entries, Now())},
+  if (!storage_->Write(kHostsWrite, {{kHostsKey, service_registry::Encode(entries, Now())},
                                      {kGatewaysKey, std::to_string(gateways_)}}))
     return;
   keeping_hosts_ = true;
--- a/src/system/node_directory.cpp
+++ b/src/system/node_directory.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <utility>
 
-#include "directory/codec.hpp"
+#include "service_registry/codec.hpp"
 #include "system/node.hpp"
 #include "system/node_limits.hpp"
 #include "util/hash.hpp"
@@ -11,13 +11,13 @@
 namespace curlewdoor::system {
 
 Node::Merged Node::MergeBatch(const std::string& batch) {
-  const auto entries = directory::Decode(batch, Now());
+  const auto entries = service_registry::Decode(batch, Now());
   if (!entries) {
     Say(Event::kMessageRefused, "hosts");
     return Merged::kUnreadable;
   }
   bool any_leave = false, all_held = true;
-  for (const directory::Entry& entry : *entries) {
+  for (const service_registry::Entry& entry : *entries) {
     directory_.Merge(Now(), entry);
     any_leave = any_leave || entry.leaves();
     const bool owed = entry.leaves() ? !directory_.Forgettable(entry) : !entry.gone();
@@ -30,32 +30,32 @@
 // To all that want news from here: the leaves among what has changed after that event of the journal.
 void Node::RelayLeaves(std::uint64_t after) {
   if (!core_ || directory_.version() == after) return;
-  std::vector<directory::Entry> leaves;
+  std::vector<service_registry::Entry> leaves;
   if (const auto events = directory_.journal().Since(after)) {
-    for (const directory::Event& event : *events)
-      if (event.kind != directory::Event::Kind::kForgotten && event.entry.leaves())
+    for (const service_registry::Event& event : *events)
+      if (event.kind != service_registry::Event::Kind::kForgotten && event.entry.leaves())
         leaves.push_back(event.entry);
   } else {
     leaves = directory_.All();
   }
-  if (!leaves.empty()) Broadcast(Hosts{directory::Encode(leaves, Now())});
+  if (!leaves.empty()) Broadcast(Hosts{service_registry::Encode(leaves, Now())});
 }
 
 std::uint64_t Node::HostsDigest() const {
   std::uint64_t digest = 0;
   for (const auto& [service, entries] : by_service_.all())
-    for (const directory::Entry& entry : entries)
+    for (const service_registry::Entry& entry : entries)
       digest +=
           StableHash(entry.id, StableHash(service, entry.draining)) ^ StableHash(entry.address, entry.silent);
   return digest;
 }
 
 void Node::PublishHosts() {
-  std::map<std::string, directory::Entry> latest;
-  std::vector<directory::Entry> changed;
+  std::map<std::string, service_registry::Entry> latest;
+  std::vector<service_registry::Entry> changed;
   if (const auto news = directory_.journal().Since(told_hosts_)) {
-    for (const directory::Event& event : *news) {
-      if (event.kind == directory::Event::Kind::kForgotten) continue;
+    for (const service_registry::Event& event : *news) {
+      if (event.kind == service_registry::Event::Kind::kForgotten) continue;
       latest[event.entry.id] = event.entry;
       const auto& entry = event.entry;
       Say(entry.gone()     ? Event::kHostGone
@@ -69,7 +69,7 @@
   }
   for (auto& [id, entry] : latest) changed.push_back(std::move(entry));
   told_hosts_ = directory_.version();
-  if (core_ && !changed.empty()) Broadcast(Hosts{directory::Encode(changed, Now())});
+  if (core_ && !changed.empty()) Broadcast(Hosts{service_registry::Encode(changed, Now())});
   if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
   for (const RequestId call : std::exchange(owed_beats_, {})) ReplyBeat(call);
 }
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "agreement/codec.hpp"
-#include "directory/codec.hpp"
+#include "service_registry/codec.hpp"
 #include "system/node.hpp"
 #include "system/node_limits.hpp"
 
@@ -49,7 +49,7 @@
     AskClock(stream);
     if (stream.counted) feed_.OnMember(Now());
     FetchConfig();
-    if (directory_.size() > 0) stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+    if (directory_.size() > 0) stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
     return;
   }
   if (!core_) {  // a seed that isn't of the core knows who is
@@ -59,7 +59,7 @@
   stream.subscribed = true;
   // Whoever fetches is told the members once its fetch was confirmed.
   if (epoch_ > 0 && !stream.fetches) stream.Send(Encode(MembersNow()));
-  if (directory_.size() > 0) stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+  if (directory_.size() > 0) stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
   if (had_majority_) TellConfig(stream);
   if (coordination_ && coordination_->leads())
     stream.Send(
@@ -142,12 +142,12 @@
   stream.strayed = message.hosts == HostsDigest() ? 0 : stream.strayed + 1;
   if (stream.strayed < kMostStrayed) return;
   stream.strayed = 0;
-  stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+  stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
   stream.Send(Encode(AskHosts{}));
 }
 
 void Node::Handle(Link::Stream& stream, AskHosts&) {
-  stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+  stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
 }
 
 Link::Stream* Node::NearCore() {
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -2,8 +2,8 @@
 // that a majority has proved. registry/ decides; here it is carried out.
 #include <utility>
 
-#include "directory/codec.hpp"
 #include "registry/record.hpp"
+#include "service_registry/codec.hpp"
 #include "system/node.hpp"
 #include "system/node_limits.hpp"
 
@@ -54,7 +54,7 @@
   replication.leave = leave;
   replication.ends = Now() + kReplicationEnds;
   replication.again = Now() + kReplicateAgain;
-  replication.batch = directory::Encode({*entry}, Now());
+  replication.batch = service_registry::Encode({*entry}, Now());
   if (held_here) owed_votes_.push_back({0, number});
   if (leave) {
     replication.streams = ToCore(ReplicateHosts{number, replication.batch});
@@ -182,21 +182,21 @@
 }
 
 std::string Node::EncodeLeaves(const registry::ReplicaRecord& record) const {
-  std::vector<directory::Entry> leaves;
-  directory_.ForEach([&](const directory::Entry& entry) {
+  std::vector<service_registry::Entry> leaves;
+  directory_.ForEach([&](const service_registry::Entry& entry) {
     if (entry.leaves()) leaves.push_back(entry);
   });
-  return registry::Encode({record, directory::Encode(leaves, Now())});
+  return registry::Encode({record, service_registry::Encode(leaves, Now())});
 }
 
 void Node::RestoreLeaves(const std::string& bytes) {
   const auto kept = registry::Decode(bytes);
-  const auto leaves = kept ? directory::Decode(kept->leaves, Now()) : std::nullopt;
+  const auto leaves = kept ? service_registry::Decode(kept->leaves, Now()) : std::nullopt;
   if (!leaves) {
     // As if it had begun anew: it votes once it has learned from the others what it forgot.
     return Say(Event::kStorageDamaged, "the leaves of hosts can't be read");
   }
-  for (const directory::Entry& entry : *leaves) directory_.Merge(Now(), entry);
+  for (const service_registry::Entry& entry : *leaves) directory_.Merge(Now(), entry);
   registry_replica_->Restore(kept->record);
   RaiseWatermark(kept->record.watermark);
 }
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "directory/by_service.hpp"
 #include "events/events.hpp"
 #include "policy/policy.hpp"
+#include "service_registry/by_service.hpp"
 #include "system/command.hpp"
 #include "system/json.hpp"
 #include "system/node.hpp"
@@ -49,10 +49,10 @@
   return all;
 }
 
-std::string_view Word(const directory::Entry& entry) {
+std::string_view Word(const service_registry::Entry& entry) {
   if (entry.gone()) return entry.left ? "left" : "gone";
   if (entry.silent) return "silent";
-  return entry.state == directory::HostState::kDraining ? "draining" : "ready";
+  return entry.state == service_registry::HostState::kDraining ? "draining" : "ready";
 }
 
 std::uint64_t ResidentBytes() {
@@ -219,11 +219,12 @@
 
 // Host by host: a tree of the whole answer would take some 10 MB, which the process would keep.
 void Node::Execute(RequestId id, const ReportHosts&) {
-  std::vector<directory::Entry> entries = directory_.All();
-  std::sort(entries.begin(), entries.end(), [](const directory::Entry& a, const directory::Entry& b) {
-    return std::tie(a.service, a.id) < std::tie(b.service, b.id);
-  });
-  if (entries.size() > directory::kMostEntries) entries.resize(directory::kMostEntries);
+  std::vector<service_registry::Entry> entries = directory_.All();
+  std::sort(entries.begin(), entries.end(),
+            [](const service_registry::Entry& a, const service_registry::Entry& b) {
+              return std::tie(a.service, a.id) < std::tie(b.service, b.id);
+            });
+  if (entries.size() > service_registry::kMostEntries) entries.resize(service_registry::kMostEntries);
   const Steady now = Now();
   Document answer;
   answer.Number("count", static_cast<double>(entries.size()));
@@ -235,13 +236,13 @@
   text.resize(text.size() - kEnd.size());
   text.reserve(text.size() + entries.size() * kUsualHost);
   bool first = true;
-  for (const directory::Entry& entry : entries) {
+  for (const service_registry::Entry& entry : entries) {
     Document each;
     each.Text("id", entry.id).Text("service", entry.service).Text("address", entry.address);
     each.Text("zone", entry.zone).Text("state", std::string(Word(entry)));
     each.Flag("draining", entry.draining).Flag("silent", entry.silent).Number("slots", entry.slots);
     each.Number("sequence", static_cast<double>(entry.sequence));
-    each.Number("heard_s_ago", entry.heard == directory::Time{} ? -1 : Seconds(now - entry.heard));
+    each.Number("heard_s_ago", entry.heard == service_registry::Time{} ? -1 : Seconds(now - entry.heard));
     each.Number("warm_in_s", std::max(0.0, Seconds(entry.warm_at - now)));
     if (!std::exchange(first, false)) text += ',';
     text += each.Print();
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -614,7 +614,7 @@
   const auto status = [](std::string_view method, const std::string& path) {
     try {
       DecodeReport(method, path);
-    } catch (const directory::CallError& error) {
+    } catch (const service_registry::CallError& error) {
       return error.status;
     }
     return 200;
--- a/tests/registry/return_search_test.cpp
+++ b/tests/registry/return_search_test.cpp
@@ -1,7 +1,7 @@
-// A search by seeds over what registry/ and directory/ claim of what was forgotten: a gateway whose list is
-// proved lists no host whose leave was acknowledged, however long ago, and whoever comes back. Processes are
-// stopped or cut off for 30 s to 10 minutes, crash, lose disks, are exchanged; beats come late. Mutants show
-// that the search can fail.
+// A search by seeds over what registry/ and service_registry/ claim of what was forgotten: a gateway whose
+// list is proved lists no host whose leave was acknowledged, however long ago, and whoever comes back.
+// Processes are stopped or cut off for 30 s to 10 minutes, crash, lose disks, are exchanged; beats come late.
+// Mutants show that the search can fail.
 //
 // CURLEWDOOR_SEARCH_SEEDS=N plays seeds 1 to N.
 #include <algorithm>
@@ -13,11 +13,11 @@
 #include <random>
 #include <set>
 
-#include "directory/codec.hpp"
-#include "directory/directory.hpp"
 #include "registry/lease.hpp"
 #include "registry/replica.hpp"
 #include "registry/watermark.hpp"
+#include "service_registry/codec.hpp"
+#include "service_registry/service_registry.hpp"
 #include "short_agreement.hpp"
 #include "system/pause_watch.hpp"
 
@@ -25,7 +25,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using directory::Directory;
+using service_registry::Directory;
 
 enum class Mutant {
   kNone,
@@ -54,7 +54,7 @@
 // A host's call, in the socket of the process that it was sent to.
 struct Call {
   Time arrives{};
-  directory::Beat beat{};
+  service_registry::Beat beat{};
 };
 
 struct HostLife {
@@ -213,9 +213,9 @@
   void TellAll(int from, int to) {
     if (Runs(from) && processes_[from].hosts) Send(from, to, HostsOf(from, processes_[from].hosts->All()));
   }
-  Message HostsOf(int p, const std::vector<directory::Entry>& entries) const {
+  Message HostsOf(int p, const std::vector<service_registry::Entry>& entries) const {
     Message message;
-    message.batch = directory::Encode(entries, Local(p));
+    message.batch = service_registry::Encode(entries, Local(p));
     return message;
   }
   void TellOthers(int p, const Message& message) {
@@ -224,9 +224,9 @@
   }
   void MergeBatch(int p, const std::string& batch) {
     if (batch.empty()) return;
-    auto entries = directory::Decode(batch, Local(p));
+    auto entries = service_registry::Decode(batch, Local(p));
     BOOST_REQUIRE(entries.has_value());
-    for (directory::Entry& entry : *entries) {
+    for (service_registry::Entry& entry : *entries) {
       if (mutant_ == Mutant::kStampsAtReceipt) entry.stamp = processes_[p].watermark->value();
       processes_[p].hosts->Merge(Local(p), entry);
     }
@@ -234,10 +234,10 @@
   // What a member has taken in is told on to all.
   void TellNews(int m, std::uint64_t before) {
     const auto events = processes_[m].hosts->journal().Since(before);
-    std::vector<directory::Entry> news;
+    std::vector<service_registry::Entry> news;
     if (!events) return TellOthers(m, HostsOf(m, processes_[m].hosts->All()));
-    for (const directory::Event& event : *events)
-      if (event.kind != directory::Event::Kind::kForgotten) news.push_back(event.entry);
+    for (const service_registry::Event& event : *events)
+      if (event.kind != service_registry::Event::Kind::kForgotten) news.push_back(event.entry);
     if (!news.empty()) TellOthers(m, HostsOf(m, news));
   }
   void Deliver() {
@@ -364,18 +364,19 @@
       }
     }
     if (!process.write && (!process.owed.empty() || replica.Dirty())) {
-      std::vector<directory::Entry> leaves;
-      process.hosts->ForEach([&](const directory::Entry& entry) {
+      std::vector<service_registry::Entry> leaves;
+      process.hosts->ForEach([&](const service_registry::Entry& entry) {
         if (entry.leaves()) leaves.push_back(entry);
       });
-      process.write = Process::Write{now_ + 10ms + Late(), replica.Record(),
-                                     directory::Encode(leaves, Local(m)), std::exchange(process.owed, {})};
+      process.write =
+          Process::Write{now_ + 10ms + Late(), replica.Record(), service_registry::Encode(leaves, Local(m)),
+                         std::exchange(process.owed, {})};
     }
     if (Chance(0.1)) {
-      std::vector<directory::Entry> here;
-      for (directory::Entry& entry : process.hosts->All())
+      std::vector<service_registry::Entry> here;
+      for (service_registry::Entry& entry : process.hosts->All())
         if (!entry.gone()) here.push_back(std::move(entry));
-      process.disk_hosts = directory::Encode(here, Local(m));
+      process.disk_hosts = service_registry::Encode(here, Local(m));
     }
     const Standing own = replica.standing();
     if (own.votes) process.lease->OnAnswer(Local(m), Local(m), own);
@@ -459,7 +460,7 @@
     host.ask_next = now_ + 700ms;
     Process& process = processes_[p];
     const std::uint64_t before = process.hosts->version();
-    process.hosts->Apply(Local(p), directory::Leave{host.id});
+    process.hosts->Apply(Local(p), service_registry::Leave{host.id});
     process.replications[host.id];
     const auto* entry = process.hosts->Find(host.id);
     Message replicate = HostsOf(p, {*entry});
--- a/tests/directory/heartbeat_targets_test.cpp
+++ b/tests/service_registry/heartbeat_targets_test.cpp
@@ -1,11 +1,11 @@
 // Where hosts' heartbeats go: evenly, in their zone, and few of them move.
-#include "directory/heartbeat_targets.hpp"
+#include "service_registry/heartbeat_targets.hpp"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <map>
 
-namespace curlewdoor::directory {
+namespace curlewdoor::service_registry {
 namespace {
 
 constexpr int kHosts = 9200;
@@ -62,4 +62,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::directory
+}  // namespace curlewdoor::service_registry
--- a/tests/directory/directory_test.cpp
+++ b/tests/service_registry/service_registry_test.cpp
@@ -1,5 +1,5 @@
 // Calls, the merging of what is heard of hosts, the journal and its view, and the bytes of the link.
-#include "directory/directory.hpp"
+#include "service_registry/service_registry.hpp"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -9,11 +9,11 @@
 #include <sstream>
 #include <variant>
 
-#include "directory/by_service.hpp"
-#include "directory/codec.hpp"
-#include "directory/command.hpp"
+#include "service_registry/by_service.hpp"
+#include "service_registry/codec.hpp"
+#include "service_registry/command.hpp"
 
-using namespace curlewdoor::directory;
+using namespace curlewdoor::service_registry;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/system/coordination_http_test.cpp
+++ b/tests/system/coordination_http_test.cpp
@@ -24,7 +24,7 @@
 Refused RefusalOf(std::string_view method, std::string_view target, std::string_view body = {}) {
   try {
     DecodeCoordinationCall(method, target, body);
-  } catch (const directory::CallError& error) {
+  } catch (const service_registry::CallError& error) {
     return {error.status, error.text};
   }
   return {};
--- a/tests/system/golden_test.cpp
+++ b/tests/system/golden_test.cpp
@@ -13,15 +13,15 @@
 #include <sstream>
 
 #include "agreement/codec.hpp"
-#include "directory/codec.hpp"
 #include "fleet/message.hpp"
+#include "service_registry/codec.hpp"
 #include "system/message.hpp"
 
 namespace curlewdoor {
 namespace {
 
 constexpr char kFolder[] = CURLEWDOOR_TESTS_DIR "/system/golden/";
-const directory::Time kNow{std::chrono::hours(1000)};
+const service_registry::Time kNow{std::chrono::hours(1000)};
 
 // Reads bytes and gives what was read, written by this version; nullopt: can't be read.
 using Rewrite = std::function<std::optional<std::string>(const std::string&)>;
@@ -165,8 +165,8 @@
 }
 
 void AddHosts(std::vector<Sample>& samples) {
-  directory::Directory hosts;
-  directory::Beat beat;
+  service_registry::Directory hosts;
+  service_registry::Beat beat;
   beat.service = "ware";
   beat.zone = "lund";
   beat.slots = 2;
@@ -176,16 +176,16 @@
     beat.address = std::string("10.8.0.31:808") + id[2];
     hosts.Apply(kNow, beat);
   }
-  hosts.Apply(kNow, directory::Leave{"i-2"});
+  hosts.Apply(kNow, service_registry::Leave{"i-2"});
   const Rewrite rewrite = [](const std::string& bytes) -> std::optional<std::string> {
-    const auto entries = directory::Decode(bytes, kNow);
-    return entries ? std::optional(directory::Encode(*entries, kNow)) : std::nullopt;
+    const auto entries = service_registry::Decode(bytes, kNow);
+    return entries ? std::optional(service_registry::Encode(*entries, kNow)) : std::nullopt;
   };
-  std::vector<directory::Entry> entries = hosts.All();
+  std::vector<service_registry::Entry> entries = hosts.All();
   const std::vector<std::vector<std::size_t>> growing{{}, {1, 0}, {1, 2}};
-  samples.push_back({"hosts-stamped", directory::Encode(entries, kNow), rewrite, growing});
-  for (directory::Entry& entry : entries) entry.stamp = 0;  // as versions before watermarks told them
-  samples.push_back({"hosts", directory::Encode(entries, kNow), rewrite, growing});
+  samples.push_back({"hosts-stamped", service_registry::Encode(entries, kNow), rewrite, growing});
+  for (service_registry::Entry& entry : entries) entry.stamp = 0;  // as versions before watermarks told them
+  samples.push_back({"hosts", service_registry::Encode(entries, kNow), rewrite, growing});
 }
 
 void AddFleet(std::vector<Sample>& samples) {
--- a/tests/system/kitchen.hpp
+++ b/tests/system/kitchen.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <memory>
 
-#include "directory/by_service.hpp"
+#include "service_registry/by_service.hpp"
 #include "stand_caller.hpp"
 #include "stand_host.hpp"
 #include "system/front.hpp"
@@ -124,14 +124,14 @@
           paused.push_back(&link);
         }
       };
-      directory::Beat beat;
+      service_registry::Beat beat;
       beat.id = "i-" + std::to_string(i);
       beat.service = "soup";
       beat.address = host.address().ToText();
       beat.zone = "here";
       beat.slots = 4;
       beat.sequence = 1;
-      known.Apply(directory::Time::clock::now(), beat);
+      known.Apply(service_registry::Time::clock::now(), beat);
     }
     by_service.Fold(known);
     front->SetHosts(by_service);
@@ -263,8 +263,8 @@
   Loop loop;
   net::Descriptors descriptors{256};
   settings::NodeSettings settings;
-  directory::Directory known;
-  directory::ByService by_service;
+  service_registry::Directory known;
+  service_registry::ByService by_service;
   std::vector<std::unique_ptr<StandHost>> hosts;
   std::unique_ptr<Front> front;
   std::map<std::string, std::vector<Way>> ways;  // of each attempt, by the request's id; then it is good
