--- a/fuzz/calls.cpp
+++ b/fuzz/calls.cpp
@@ -9,19 +9,19 @@
 
 namespace curlewdoor::service_registry {
 
-void CheckBeat(const Beat& beat) {
-  FUZZ_REQUIRE(!beat.id.empty() && beat.id.size() <= kMostName);
-  for (const char c : beat.id) FUZZ_REQUIRE(c > ' ' && c <= '~' && c != '/');
-  FUZZ_REQUIRE(!beat.service.empty());
-  for (const std::string* text : {&beat.service, &beat.zone, &beat.version}) {
-    FUZZ_REQUIRE(text->size() <= kMostName);
+void CheckHeartbeat(const Heartbeat& heartbeat) {
+  FUZZ_REQUIRE(!heartbeat.id.empty() && heartbeat.id.size() <= kMaxNameBytes);
+  for (const char c : heartbeat.id) FUZZ_REQUIRE(c > ' ' && c <= '~' && c != '/');
+  FUZZ_REQUIRE(!heartbeat.service.empty());
+  for (const std::string* text : {&heartbeat.service, &heartbeat.zone, &heartbeat.version}) {
+    FUZZ_REQUIRE(text->size() <= kMaxNameBytes);
     for (const unsigned char c : *text) FUZZ_REQUIRE(c >= 0x20 && c != 0x7f);
   }
-  const auto address = ParseAddress(beat.address);
-  FUZZ_REQUIRE(address && address->ip != 0 && address->port != 0 && address->ToText() == beat.address);
-  FUZZ_REQUIRE(beat.slots >= 0 && beat.slots <= kMostSlots);
-  FUZZ_REQUIRE(beat.sequence <= kMostSequence);
-  FUZZ_REQUIRE(beat.warmup_left.count() >= 0 && beat.warmup_left <= kMostWarmup);
+  const auto address = ParseAddress(heartbeat.address);
+  FUZZ_REQUIRE(address && address->ip != 0 && address->port != 0 && address->ToText() == heartbeat.address);
+  FUZZ_REQUIRE(heartbeat.slots >= 0 && heartbeat.slots <= kMaxSlots);
+  FUZZ_REQUIRE(heartbeat.sequence <= kMaxSequence);
+  FUZZ_REQUIRE(heartbeat.warmup_left.count() >= 0 && heartbeat.warmup_left <= kMaxWarmup);
 }
 
 void Check(std::string_view input) {
@@ -43,10 +43,10 @@
     }
     const std::size_t size = body.size();
     const Command command = Decode(method, path, std::move(body));
-    if (const auto* beat = std::get_if<Beat>(&command)) CheckBeat(*beat);
-    if (const auto* leave = std::get_if<Leave>(&command))
-      FUZZ_REQUIRE(!leave->id.empty() && leave->id.size() <= kMostName);
-    if (const auto* put = std::get_if<PutConfig>(&command)) FUZZ_REQUIRE(put->text.size() == size);
+    if (const auto* heartbeat = std::get_if<Heartbeat>(&command)) CheckHeartbeat(*heartbeat);
+    if (const auto* leave = std::get_if<Deregistration>(&command))
+      FUZZ_REQUIRE(!leave->id.empty() && leave->id.size() <= kMaxNameBytes);
+    if (const auto* put = std::get_if<ReplaceConfig>(&command)) FUZZ_REQUIRE(put->text.size() == size);
   } catch (const CallError& error) {
     FUZZ_REQUIRE(error.status == 400 || error.status == 404 || error.status == 405 || error.status == 413);
     FUZZ_REQUIRE(!error.text.empty());
--- a/fuzz/fleet_message.cpp
+++ b/fuzz/fleet_message.cpp
@@ -11,17 +11,17 @@
 
 constexpr std::string_view kFleet = "flock";
 
-void CheckRecord(const Record& record) {
-  FUZZ_REQUIRE(!record.name.empty() && record.name.size() <= kMostName);
-  FUZZ_REQUIRE(record.about.size() <= kMostAbout && record.by.size() <= kMostName);
-  FUZZ_REQUIRE(record.state <= State::kLeft && record.address.ip != 0 && record.address.port != 0);
+void CheckRecord(const MemberRecord& record) {
+  FUZZ_REQUIRE(!record.name.empty() && record.name.size() <= kMaxNameBytes);
+  FUZZ_REQUIRE(record.metadata.size() <= kMaxMetadataBytes && record.reported_by.size() <= kMaxNameBytes);
+  FUZZ_REQUIRE(record.state <= MemberState::kLeft && record.address.ip != 0 && record.address.port != 0);
 }
 
 void Check(std::string_view bytes) {
   if (const auto records = DecodeRecords(bytes))
-    FUZZ_REQUIRE(records->size() <= kMostMembers && DecodeRecords(EncodeRecords(*records)) == records);
+    FUZZ_REQUIRE(records->size() <= kMaxMembers && DecodeRecords(EncodeRecords(*records)) == records);
 
-  auto why = Drop::kNone;
+  auto reason = DropReason::kNone;
   constexpr std::size_t kHead = 4;  // major, minor, kind and one byte to spare: magic and name stand fast
   if (bytes.size() < kHead) return;
   std::string head("CDFV");
@@ -31,15 +31,15 @@
   std::uint64_t value = StableHash(body, StableHash(head));
   sum(value);
   int major = 0;
-  const auto message = Decode(head + sum.bytes + std::string(body), kFleet, why, &major);
-  FUZZ_REQUIRE(message.has_value() == (why == Drop::kNone));
+  const auto message = Decode(head + sum.bytes + std::string(body), kFleet, reason, &major);
+  FUZZ_REQUIRE(message.has_value() == (reason == DropReason::kNone));
   if (!message) return;
   CheckRecord(message->sender);
-  FUZZ_REQUIRE(message->rumours.size() <= kMostMembers && message->target.size() <= kMostName);
-  FUZZ_REQUIRE(message->payload.size() <= kMostPayload);
-  for (const Record& rumour : message->rumours) CheckRecord(rumour);
+  FUZZ_REQUIRE(message->rumours.size() <= kMaxMembers && message->target.size() <= kMaxNameBytes);
+  FUZZ_REQUIRE(message->payload.size() <= kMaxPayloadBytes);
+  for (const MemberRecord& rumour : message->rumours) CheckRecord(rumour);
   const std::string written = Encode(*message, kFleet);
-  const auto again = Decode(written, kFleet, why);
+  const auto again = Decode(written, kFleet, reason);
   FUZZ_REQUIRE(again && Encode(*again, kFleet) == written);
   FUZZ_REQUIRE(again->sender == message->sender && again->rumours == message->rumours);
 }
--- a/fuzz/hosts_batch.cpp
+++ b/fuzz/hosts_batch.cpp
@@ -13,15 +13,15 @@
   const Time now = Time(std::chrono::hours(1000));
   const auto entries = Decode(bytes, now);
   if (!entries) return;
-  FUZZ_REQUIRE(entries->size() <= kMostEntries);
-  Directory merged;
-  for (const Entry& entry : *entries) {
-    FUZZ_REQUIRE(!entry.id.empty() && entry.id.size() <= kMostName);
-    FUZZ_REQUIRE(entry.service.size() <= kMostName && entry.zone.size() <= kMostName);
-    FUZZ_REQUIRE(entry.slots >= 0 && entry.slots <= kMostSlots);
-    FUZZ_REQUIRE(entry.sequence <= kMostSequence && entry.said_at <= entry.sequence);
-    FUZZ_REQUIRE(entry.since <= now && entry.warm_at >= now);
-    FUZZ_REQUIRE(entry.gone() || !entry.address.empty());
+  FUZZ_REQUIRE(entries->size() <= kMaxEntries);
+  ServiceRegistry merged;
+  for (const HostEntry& entry : *entries) {
+    FUZZ_REQUIRE(!entry.id.empty() && entry.id.size() <= kMaxNameBytes);
+    FUZZ_REQUIRE(entry.service.size() <= kMaxNameBytes && entry.zone.size() <= kMaxNameBytes);
+    FUZZ_REQUIRE(entry.slots >= 0 && entry.slots <= kMaxSlots);
+    FUZZ_REQUIRE(entry.sequence <= kMaxSequence && entry.details_sequence <= entry.sequence);
+    FUZZ_REQUIRE(entry.unavailable_since <= now && entry.warm_at >= now);
+    FUZZ_REQUIRE(entry.removed() || !entry.address.empty());
     merged.Merge(now, entry);
   }
   const std::string written = Encode(*entries, now);
--- a/src/app/duties.cpp
+++ b/src/app/duties.cpp
@@ -12,14 +12,14 @@
 namespace curlewdoor::app {
 namespace {
 
-using Kind = duty::Change::Kind;
+using Kind = duty::DutyChange::Kind;
 
 duty::Time Now() { return std::chrono::steady_clock::now(); }
 
 // Above all tokens that voters of earlier lives can have said yes to, while clocks are not set back between.
 std::uint64_t FloorOf(std::uint64_t boot) { return boot << 20; }
 
-duty::Options OptionsOf(const config::Config& config) {
+duty::DutyOptions OptionsOf(const config::Config& config) {
   const config::Duty& duty = *config.duty;
   return {config.name, duty.voters, duty.voters_before, duty.names, duty.lease, duty.clock_bound};
 }
@@ -43,7 +43,7 @@
       machine_(OptionsOf(config), FloorOf(boot), StableHash(config.name, config.seed ^ boot ^ 0xd07)),
       timer_(loop,
              [this](int) {
-               duty::Out out;
+               duty::DutyOutput out;
                machine_.Tick(Now(), out);
                Carry(std::move(out));
              }),
@@ -57,38 +57,38 @@
 void Duties::Start() {
   if (std::exchange(started_, true)) return;
   machine_.Start(Now());
-  const duty::Options& options = machine_.options();
+  const duty::DutyOptions& options = machine_.options();
   logger_.Info("duty: event=open duties={} voters={} before={} votes={} silent_ms={}", Joined(options.duties),
                Joined(options.voters), Joined(options.voters_before), YesNo(machine_.votes()),
-               Milliseconds(machine_.silent_for(Now())));
+               Milliseconds(machine_.abstains_for(Now())));
   if (ledger_) record_timer_.StartIn(record_every_, record_every_);
   Arm();
 }
 
-void Duties::OnView(const fleet::Machine& machine) {
-  duty::Out out;
-  machine_.OnView(Now(), duty::ViewOf(machine), out);
+void Duties::OnView(const fleet::MembershipProtocol& machine) {
+  duty::DutyOutput out;
+  machine_.OnView(Now(), duty::FleetViewOf(machine), out);
   Carry(std::move(out));
 }
 
-void Duties::OnPayload(const fleet::Payload& payload) {
-  if (payload.channel == duty::kUseChannel) {
-    if (const auto use = duty::DecodeUse(payload.bytes)) uses_.Told(Now(), payload.from, *use);
+void Duties::OnPayload(const fleet::ReceivedPayload& payload) {
+  if (payload.channel == duty::kUsageChannel) {
+    if (const auto use = duty::DecodeUsage(payload.bytes)) uses_.Report(Now(), payload.from, *use);
     return;
   }
-  if (payload.channel != duty::kChannel) return;
+  if (payload.channel != duty::kDutyChannel) return;
   const auto message = duty::Decode(payload.bytes);
   if (!message) {
     ++dropped_;
     return;
   }
-  duty::Out out;
-  machine_.OnMessage(Now(), payload.from, duty::LifeOf(payload.from, payload.boot), *message, out);
+  duty::DutyOutput out;
+  machine_.OnMessage(Now(), payload.from, duty::IncarnationOf(payload.from, payload.boot), *message, out);
   Carry(std::move(out));
 }
 
 void Duties::Leave() {
-  duty::Out out;
+  duty::DutyOutput out;
   machine_.Leave(Now(), out);
   Carry(std::move(out));
 }
@@ -97,37 +97,37 @@
   timer_.Stop();
   record_timer_.Stop();
   started_ = false;
-  return machine_.HandOn();
+  return machine_.ExportState();
 }
 
 void Duties::TakeOver(std::string_view bytes) {
-  if (machine_.TakeOver(Now(), bytes)) return logger_.Info("duty: event=taken_over");
+  if (machine_.ImportState(Now(), bytes)) return logger_.Info("duty: event=taken_over");
   logger_.Warning("duty: event=not_taken_over reason=\"what came is cut or changed\"; it keeps silent first");
 }
 
 void Duties::Resume() {
-  duty::Out out;
+  duty::DutyOutput out;
   machine_.Resume(Now(), out);
   Carry(std::move(out));
   Start();
 }
 
 std::string Duties::WhyNot(const config::Config& next) const {
-  return machine_.WhyNot(Now(), OptionsOf(next));
+  return machine_.ReconfigureError(Now(), OptionsOf(next));
 }
 
 void Duties::Retune(const config::Config& next) {
-  duty::Out out;
-  machine_.Retune(Now(), OptionsOf(next), out);
+  duty::DutyOutput out;
+  machine_.Reconfigure(Now(), OptionsOf(next), out);
   Carry(std::move(out));
 }
 
 // ---- Between the machine and the link -----------------------------------------------------------------
 
-void Duties::Carry(duty::Out out) {
-  for (const duty::Change& change : out.changes) Tell(change);
-  for (duty::Sending& sending : out.messages)
-    ground_.SendPayload(sending.to, duty::kChannel, std::move(sending.bytes));
+void Duties::Carry(duty::DutyOutput out) {
+  for (const duty::DutyChange& change : out.changes) Tell(change);
+  for (duty::OutgoingMessage& sending : out.messages)
+    ground_.SendPayload(sending.to, duty::kDutyChannel, std::move(sending.bytes));
   Arm();
 }
 
@@ -139,44 +139,45 @@
   timer_.StartIn(std::max(duty::Duration::zero(), *due - Now()));
 }
 
-void Duties::Tell(const duty::Change& change) {
+void Duties::Tell(const duty::DutyChange& change) {
   const std::int64_t now = Nanoseconds(Now()), until = Nanoseconds(change.until);
   if (change.kind == Kind::kGained)
     return logger_.Info("duty: event=gained duty={} token={} at_ns={} until_ns={}", change.duty, change.token,
                         now, until);
-  const std::string_view what = change.kind == Kind::kLost       ? "lost"
-                                : change.kind == Kind::kHandedOn ? "handed_on"
-                                                                 : "refused";
+  const std::string_view what = change.kind == Kind::kLost          ? "lost"
+                                : change.kind == Kind::kTransferred ? "handed_on"
+                                                                    : "refused";
   logger_.Warning("duty: event={} duty={} token={} at_ns={} until_ns={} reason=\"{}\"", what, change.duty,
                   change.token, now, std::min(now, until),
-                  change.kind == Kind::kLost       ? "its lease has run out"
-                  : change.kind == Kind::kHandedOn ? "to " + change.text
-                                                   : change.text);
+                  change.kind == Kind::kLost          ? "its lease has run out"
+                  : change.kind == Kind::kTransferred ? "to " + change.text
+                                                      : change.text);
 }
 
 // ---- The duty `record` --------------------------------------------------------------------------------
 
 // Each gateway tells the holder what it has done; the holder writes the sum.
 void Duties::RecordDue() {
-  for (const duty::Standing& standing : machine_.Standings(Now())) {
+  for (const duty::DutyStatus& standing : machine_.Statuses(Now())) {
     if (standing.duty != kRecord) continue;
     if (standing.state == "holding") {
-      uses_.Told(Now(), machine_.options().name, ground_.OwnUse());
+      uses_.Report(Now(), machine_.options().name, ground_.OwnUse());
       ledger_->Append();
     } else if (!standing.holder.empty()) {
-      ground_.SendPayload(standing.holder, duty::kUseChannel, duty::Encode(ground_.OwnUse()));
+      ground_.SendPayload(standing.holder, duty::kUsageChannel, duty::Encode(ground_.OwnUse()));
     }
   }
 }
 
 // At the moment of writing: whoever stood still since it was asked for finds out here.
 std::optional<std::string> Duties::OnReady() {
-  const auto token = machine_.May(Now(), kRecord);
+  const auto token = machine_.AuthorizeAct(Now(), kRecord);
   if (!token) return std::nullopt;
   constexpr int kFreshIntervals = 5;
-  const auto sum = uses_.Add(Now(), kFreshIntervals * record_every_);
+  const auto sum = uses_.Total(Now(), kFreshIntervals * record_every_);
   return fmt::format("append {} {} gateways={} served={} refused={} failed={} by={}", kRecord, *token,
-                     sum.gateways, sum.use.served, sum.use.refused, sum.use.failed, machine_.options().name);
+                     sum.gateways, sum.usage.served, sum.usage.refused, sum.usage.failed,
+                     machine_.options().name);
 }
 
 void Duties::OnTaken(std::uint64_t) {
@@ -186,8 +187,8 @@
 
 void Duties::OnStale(std::uint64_t highest) {
   logger_.Warning("duty: event=stale duty={} highest={}", kRecord, highest);
-  duty::Out out;
-  machine_.Refused(Now(), kRecord, highest, out);
+  duty::DutyOutput out;
+  machine_.OnTokenRejected(Now(), kRecord, highest, out);
   Carry(std::move(out));
 }
 
@@ -200,21 +201,22 @@
 
 std::string Duties::Describe() const {
   const duty::Time now = Now();
-  const duty::Options& options = machine_.options();
+  const duty::DutyOptions& options = machine_.options();
   std::string text = fmt::format(
       "duties name={} voters={} before={} votes={} silent_ms={} lease_ms={} behind={}\n", options.name,
       Joined(options.voters), Joined(options.voters_before), YesNo(machine_.votes()),
-      Milliseconds(machine_.silent_for(now)), Milliseconds(options.lease), Joined(machine_.Behind()));
-  for (const duty::Standing& standing : machine_.Standings(now))
+      Milliseconds(machine_.abstains_for(now)), Milliseconds(options.lease), Joined(machine_.VotersBehind()));
+  for (const duty::DutyStatus& standing : machine_.Statuses(now))
     text += fmt::format("duty name={} state={} holder={} token={} left_ms={} for_ms={} voters_heard={}\n",
                         standing.duty, standing.state, OrDash(standing.holder), standing.token,
-                        Milliseconds(standing.left), Milliseconds(now - standing.since), standing.heard);
+                        Milliseconds(standing.lease_left), Milliseconds(now - standing.since),
+                        standing.granted_votes);
   return text + "END\n";
 }
 
 std::string Duties::HandOver(const std::string& duty, const std::string& to) {
-  duty::Out out;
-  const std::string why = machine_.HandOver(Now(), duty, to, out);
+  duty::DutyOutput out;
+  const std::string why = machine_.Transfer(Now(), duty, to, out);
   Carry(std::move(out));
   return why;
 }
@@ -222,7 +224,7 @@
 std::vector<std::pair<std::string, std::uint64_t>> Duties::Figures() const {
   std::vector<std::pair<std::string, std::uint64_t>> figures{
       {"duty.dropped", dropped_}, {"duty.ledger_taken", taken_}, {"duty.ledger_failed", failed_}};
-  for (const duty::Standing& standing : machine_.Standings(Now())) {
+  for (const duty::DutyStatus& standing : machine_.Statuses(Now())) {
     const std::string head = "duty." + standing.duty;
     figures.emplace_back(head + ".held", standing.state == "holding" ? 1 : 0);
     figures.emplace_back(head + ".changes", standing.changes);
--- a/src/app/duties.hpp
+++ b/src/app/duties.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "duty/machine.hpp"
-#include "duty/use.hpp"
-#include "fleet/machine.hpp"
+#include "duty/duty_manager.hpp"
+#include "duty/usage.hpp"
+#include "fleet/membership_protocol.hpp"
 #include "log/log.hpp"
 #include "net/ledger.hpp"
 #include "net/watcher.hpp"
@@ -29,7 +29,7 @@
    public:
     virtual ~Ground() = default;
     virtual void SendPayload(const std::string& to, std::uint8_t channel, std::string bytes) = 0;
-    virtual duty::Use OwnUse() const = 0;
+    virtual duty::UsageCounts OwnUse() const = 0;
   };
 
   Duties(struct ev_loop* loop, const config::Config& config, std::uint64_t boot,
@@ -37,8 +37,8 @@
   ~Duties() override;
 
   void Start();
-  void OnView(const fleet::Machine& machine);
-  void OnPayload(const fleet::Payload& payload);
+  void OnView(const fleet::MembershipProtocol& machine);
+  void OnPayload(const fleet::ReceivedPayload& payload);
   void Leave();
 
   // An upgrade.
@@ -61,8 +61,8 @@
   void OnStale(std::uint64_t highest) override;
   void OnFailed(const std::string& why) override;
 
-  void Carry(duty::Out out);
-  void Tell(const duty::Change& change);
+  void Carry(duty::DutyOutput out);
+  void Tell(const duty::DutyChange& change);
   void Arm();
   void RecordDue();
 
@@ -70,8 +70,8 @@
   const std::chrono::milliseconds record_every_;
   log::Logger& logger_;
   Ground& ground_;
-  duty::Machine machine_;
-  duty::UseTable uses_;
+  duty::DutyManager machine_;
+  duty::UsageTable uses_;
   std::optional<net::Ledger> ledger_;
   net::TimerWatcher timer_, record_timer_;
   bool started_ = false, failing_ = false;
--- a/src/app/peers.cpp
+++ b/src/app/peers.cpp
@@ -16,8 +16,8 @@
 namespace curlewdoor::app {
 namespace {
 
-using fleet::Machine;
-using fleet::Record;
+using fleet::MemberRecord;
+using fleet::MembershipProtocol;
 
 fleet::Time Now() { return std::chrono::steady_clock::now(); }
 
@@ -28,33 +28,33 @@
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
 }
 
-fleet::Options OptionsOf(const config::Config& config) {
-  fleet::Options options;
+fleet::MembershipOptions OptionsOf(const config::Config& config) {
+  fleet::MembershipOptions options;
   options.fleet = config.fleet->name;
   options.name = config.name;
   options.boot = BootNow();
   options.address = config.fleet->advertise;
   // What others act upon comes first: the rest is for people, and may be cut.
-  options.about = fmt::format("version:{}{},zone:{}", CURLEWDOOR_VERSION, config.duty ? duty::kAble : "",
-                              config.settings.zone);
-  options.about.resize(std::min(options.about.size(), fleet::kMostAbout));
-  std::replace(options.about.begin(), options.about.end(), ' ', '_');
+  options.metadata = fmt::format("version:{}{},zone:{}", CURLEWDOOR_VERSION,
+                                 config.duty ? duty::kDutiesTag : "", config.settings.zone);
+  options.metadata.resize(std::min(options.metadata.size(), fleet::kMaxMetadataBytes));
+  std::replace(options.metadata.begin(), options.metadata.end(), ' ', '_');
   options.seeds = config.fleet->seeds;
-  options.probe = config.fleet->probe;
+  options.probe_period = config.fleet->probe;
   return options;
 }
 
-std::string Line(const Record& record, fleet::Duration since) {
+std::string Line(const MemberRecord& record, fleet::Duration since) {
   return fmt::format("member name={} state={} for_ms={} boot={} incarnation={} address={} by={} about={}\n",
-                     record.name, fleet::Word(record.state), since / std::chrono::milliseconds(1),
-                     record.boot, record.incarnation, record.address.ToText(), OrDash(record.by),
-                     OrDash(record.about));
+                     record.name, fleet::StateName(record.state), since / std::chrono::milliseconds(1),
+                     record.boot, record.incarnation, record.address.ToText(), OrDash(record.reported_by),
+                     OrDash(record.metadata));
 }
 
 }  // namespace
 
 Peers::Peers(struct ev_loop* loop, const config::Config& config, net::Descriptors& descriptors,
-             log::Logger& logger, std::function<duty::Use()> own_use)
+             log::Logger& logger, std::function<duty::UsageCounts()> own_use)
     : loop_(loop),
       config_(*config.fleet),
       logger_(logger),
@@ -62,7 +62,7 @@
       link_(loop, descriptors, *this),
       timer_(loop,
              [this](int) {
-               fleet::Out out;
+               fleet::ProtocolOutput out;
                machine_.Tick(Now(), out);
                Carry(std::move(out));
              }),
@@ -89,13 +89,13 @@
                machine_.self().name, config_.listen.ToText(), config_.advertise.ToText(),
                machine_.self().boot, config_.size);
   if (duties_) duties_->Start();
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   machine_.Start(Now(), out);
   Carry(std::move(out));
 }
 
 void Peers::SendPayload(const std::string& to, std::uint8_t channel, std::string bytes) {
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   machine_.SendPayload(to, channel, std::move(bytes), out);
   Carry(std::move(out));
 }
@@ -103,7 +103,7 @@
 // Duties are handed on first: who has left is not listened to any more.
 void Peers::Leave() {
   if (duties_) duties_->Leave();
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   machine_.Leave(Now(), out);
   if (!out.datagrams.empty()) logger_.Info("fleet: event=leave told={}", out.datagrams.size());
   Carry(std::move(out));
@@ -112,7 +112,7 @@
 std::string Peers::HandOn() {
   Writer writer;
   const std::string duties = duties_ ? duties_->HandOn() : std::string();
-  const std::string records = fleet::EncodeRecords(machine_.HandOn());
+  const std::string records = fleet::EncodeRecords(machine_.ExportState());
   writer(records, duties);
   timer_.Stop();
   open_timer_.Stop();
@@ -128,7 +128,7 @@
   const auto records = reader.ok() ? fleet::DecodeRecords(known) : std::nullopt;
   if (!records)
     return logger_.Warning("fleet: event=not_taken_over reason=\"the records are cut or changed\"");
-  machine_.TakeOver(Now(), *records);
+  machine_.ImportState(Now(), *records);
   logger_.Info("fleet: event=taken_over members={}", records->size());
   if (duties_) duties_->TakeOver(duties);
 }
@@ -143,41 +143,43 @@
 
 // ---- Between the machine and the link -----------------------------------------------------------------
 
-std::optional<fleet::Message> Peers::Decode(std::string_view bytes, std::size_t most) {
-  auto why = fleet::Drop::kTooLong;
+std::optional<fleet::GossipMessage> Peers::Decode(std::string_view bytes, std::size_t most) {
+  auto why = fleet::DropReason::kTooLong;
   int major = 0;
-  std::optional<fleet::Message> message;
+  std::optional<fleet::GossipMessage> message;
   if (bytes.size() <= most) message = fleet::Decode(bytes, config_.name, why, &major);
   if (!message) ++dropped_[static_cast<std::size_t>(why)];
-  if (why == fleet::Drop::kVersion && !std::exchange(told_version_, true))
+  if (why == fleet::DropReason::kVersion && !std::exchange(told_version_, true))
     logger_.Warning("fleet: event=refused reason=\"messages of version {}; this gateway speaks {}\"", major,
-                    fleet::kMajor);
+                    fleet::kMajorVersion);
   return message;
 }
 
 void Peers::OnDatagram(std::string_view bytes) {
-  const auto message = Decode(bytes, fleet::kMostDatagram);
-  if (!message || message->kind == fleet::Kind::kExchange || message->kind == fleet::Kind::kExchangeReply)
+  const auto message = Decode(bytes, fleet::kMaxDatagramBytes);
+  if (!message || message->kind == fleet::MessageKind::kExchange ||
+      message->kind == fleet::MessageKind::kExchangeReply)
     return;
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   machine_.OnMessage(Now(), *message, out);
   Carry(std::move(out));
 }
 
 std::string Peers::OnExchange(std::string_view bytes) {
-  const auto message = Decode(bytes, fleet::kMostExchange);
-  if (!message || message->kind != fleet::Kind::kExchange) return {};
-  const std::string answer = fleet::Encode(machine_.Full(fleet::Kind::kExchangeReply), config_.name);
-  fleet::Out out;
+  const auto message = Decode(bytes, fleet::kMaxExchangeBytes);
+  if (!message || message->kind != fleet::MessageKind::kExchange) return {};
+  const std::string answer =
+      fleet::Encode(machine_.FullState(fleet::MessageKind::kExchangeReply), config_.name);
+  fleet::ProtocolOutput out;
   machine_.OnMessage(Now(), *message, out);
   Carry(std::move(out));
   return answer;
 }
 
 void Peers::OnExchangeEnd(const Address& with, std::string_view bytes) {
-  fleet::Out out;
-  const auto message = bytes.empty() ? std::nullopt : Decode(bytes, fleet::kMostExchange);
-  if (message && message->kind == fleet::Kind::kExchangeReply) {
+  fleet::ProtocolOutput out;
+  const auto message = bytes.empty() ? std::nullopt : Decode(bytes, fleet::kMaxExchangeBytes);
+  if (message && message->kind == fleet::MessageKind::kExchangeReply) {
     machine_.OnMessage(Now(), *message, out);
   } else {
     machine_.OnExchangeFailed(Now(), with, out);
@@ -187,8 +189,8 @@
   Carry(std::move(out));
 }
 
-void Peers::Carry(fleet::Out out) {
-  for (const fleet::Change& change : out.changes) Tell(change);
+void Peers::Carry(fleet::ProtocolOutput out) {
+  for (const fleet::MembershipChange& change : out.changes) Tell(change);
   for (const auto& [to, message] : out.datagrams) link_.Send(to, fleet::Encode(message, config_.name));
   for (const auto& [with, message] : out.exchanges)
     link_.Exchange(with, fleet::Encode(message, config_.name));
@@ -196,7 +198,7 @@
   if (!duties_) return;
   if (std::exchange(told_version_of_view_, machine_.version()) != machine_.version())
     duties_->OnView(machine_);
-  for (const fleet::Payload& payload : out.payloads) duties_->OnPayload(payload);
+  for (const fleet::ReceivedPayload& payload : out.payloads) duties_->OnPayload(payload);
 }
 
 void Peers::Arm() {
@@ -209,20 +211,20 @@
 
 // ---- For operators ------------------------------------------------------------------------------------
 
-void Peers::Tell(const fleet::Change& change) {
-  using Kind = fleet::Change::Kind;
-  const Record& member = change.member;
-  if (change.kind == Kind::kMember) {
+void Peers::Tell(const fleet::MembershipChange& change) {
+  using Kind = fleet::MembershipChange::Kind;
+  const MemberRecord& member = change.member;
+  if (change.kind == Kind::kMemberChanged) {
     ++changes_;
     logger_.Info(
         "fleet: event=member member={} state={} boot={} incarnation={} address={} by={} new={} version={}",
-        member.name, fleet::Word(member.state), member.boot, member.incarnation, member.address.ToText(),
-        OrDash(member.by), YesNo(change.is_new), machine_.version());
+        member.name, fleet::StateName(member.state), member.boot, member.incarnation, member.address.ToText(),
+        OrDash(member.reported_by), YesNo(change.is_new), machine_.version());
   } else if (change.kind == Kind::kSettled) {
     logger_.Info("fleet: event=settled alive={} of={} quorum={} version={} view={:016x}", machine_.alive(),
-                 config_.size, YesNo(machine_.Quorum(config_.size)), machine_.version(),
+                 config_.size, YesNo(machine_.HasQuorum(config_.size)), machine_.version(),
                  machine_.Fingerprint());
-  } else if (change.kind == Kind::kRefused) {
+  } else if (change.kind == Kind::kRejected) {
     logger_.Error("fleet: event=refused reason=\"{}\"", change.text);
   } else if (change.kind == Kind::kStalled) {
     ++stalls_;
@@ -238,23 +240,23 @@
 }
 
 std::string Peers::Describe() const {
-  const Record& self = machine_.self();
+  const MemberRecord& self = machine_.self();
   std::string text = fmt::format(
       "fleet name={} self={} version={} settled={} joined={} alive={} of={} quorum={} suspect={} health={} "
       "seeds_failed={} view={:016x}\n",
       config_.name, self.name, machine_.version(), YesNo(machine_.settled()), YesNo(machine_.joined()),
-      machine_.alive(), config_.size, YesNo(machine_.Quorum(config_.size)), machine_.suspects(),
+      machine_.alive(), config_.size, YesNo(machine_.HasQuorum(config_.size)), machine_.suspects(),
       machine_.health(), machine_.failed_joins(), machine_.Fingerprint());
-  if (!machine_.refused().empty()) text += fmt::format("refused {}\n", machine_.refused());
+  if (!machine_.rejection().empty()) text += fmt::format("refused {}\n", machine_.rejection());
   const fleet::Time now = Now();
-  if (machine_.refused().empty()) text += Line(self, {});
-  for (const auto& [name, member] : machine_.others()) text += Line(member.record, now - member.since);
+  if (machine_.rejection().empty()) text += Line(self, {});
+  for (const auto& [name, member] : machine_.others()) text += Line(member.record, now - member.state_since);
   return text + "END\n";
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> Peers::FleetFigures() const {
   const net::FleetLink::Counts& link = link_.counts();
-  const auto dropped = [&](fleet::Drop why) { return dropped_[static_cast<std::size_t>(why)]; };
+  const auto dropped = [&](fleet::DropReason why) { return dropped_[static_cast<std::size_t>(why)]; };
   return {{"fleet.alive", machine_.alive()},
           {"fleet.suspect", machine_.suspects()},
           {"fleet.changes", changes_},
@@ -269,10 +271,10 @@
           {"fleet.exchanges", link.exchanges},
           {"fleet.exchanges_failed", link.failed_exchanges},
           {"fleet.dropped.not_sent", link.not_sent},
-          {"fleet.dropped.malformed", dropped(fleet::Drop::kMalformed)},
-          {"fleet.dropped.foreign", dropped(fleet::Drop::kForeign)},
-          {"fleet.dropped.version", dropped(fleet::Drop::kVersion)},
-          {"fleet.dropped.too_long", dropped(fleet::Drop::kTooLong)},
+          {"fleet.dropped.malformed", dropped(fleet::DropReason::kMalformed)},
+          {"fleet.dropped.foreign", dropped(fleet::DropReason::kForeign)},
+          {"fleet.dropped.version", dropped(fleet::DropReason::kVersion)},
+          {"fleet.dropped.too_long", dropped(fleet::DropReason::kTooLong)},
           {"fleet.dropped.exchanges", link.refused_exchanges}};
 }
 
--- a/src/app/peers.hpp
+++ b/src/app/peers.hpp
@@ -13,7 +13,7 @@
 
 #include "app/duties.hpp"
 #include "config/config.hpp"
-#include "fleet/machine.hpp"
+#include "fleet/membership_protocol.hpp"
 #include "log/log.hpp"
 #include "net/fleet_link.hpp"
 #include "net/watcher.hpp"
@@ -23,7 +23,7 @@
 class Peers : net::FleetLink::Owner, Duties::Ground {
  public:
   Peers(struct ev_loop* loop, const config::Config& config, net::Descriptors& descriptors,
-        log::Logger& logger, std::function<duty::Use()> own_use);
+        log::Logger& logger, std::function<duty::UsageCounts()> own_use);
   ~Peers() override;
 
   // Opens the link and joins. While the address is held, by the process that this one takes over from or by
@@ -39,7 +39,7 @@
   // Operators' calls.
   std::string Describe() const;
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
-  const fleet::Machine& view() const { return machine_; }
+  const fleet::MembershipProtocol& view() const { return machine_; }
   Duties* duties() { return duties_ ? &*duties_ : nullptr; }  // where the configuration has `duty`
 
  private:
@@ -48,22 +48,22 @@
   void OnExchangeEnd(const Address& with, std::string_view bytes) override;
 
   void SendPayload(const std::string& to, std::uint8_t channel, std::string bytes) override;
-  duty::Use OwnUse() const override { return own_use_(); }
+  duty::UsageCounts OwnUse() const override { return own_use_(); }
 
   std::vector<std::pair<std::string, std::uint64_t>> FleetFigures() const;
-  std::optional<fleet::Message> Decode(std::string_view bytes, std::size_t most);
+  std::optional<fleet::GossipMessage> Decode(std::string_view bytes, std::size_t most);
   void Open();
-  void Carry(fleet::Out out);
-  void Tell(const fleet::Change& change);
+  void Carry(fleet::ProtocolOutput out);
+  void Tell(const fleet::MembershipChange& change);
   void Arm();
 
   struct ev_loop* loop_;
   const config::Fleet config_;
   log::Logger& logger_;
-  fleet::Machine machine_;
+  fleet::MembershipProtocol machine_;
   net::FleetLink link_;
   net::TimerWatcher timer_, open_timer_;
-  const std::function<duty::Use()> own_use_;
+  const std::function<duty::UsageCounts()> own_use_;
   std::optional<Duties> duties_;
   std::uint64_t told_version_of_view_ = 0;  // that duties know
   std::array<std::uint64_t, 5> dropped_{};  // by fleet::Drop
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -43,7 +43,7 @@
       peers_(config_.fleet ? std::make_unique<Peers>(
                                  loop, config_, descriptors_, logger,
                                  [this] {
-                                   return duty::Use{counts_.served, counts_.refused, counts_.failed};
+                                   return duty::UsageCounts{counts_.served, counts_.refused, counts_.failed};
                                  })
                            : nullptr),
       handing_({loop, *this, descriptors_, listener_, upstream_, *reducer_, by_hand_, logger,
--- a/src/budget/parts.cpp
+++ b/src/budget/parts.cpp
@@ -29,7 +29,7 @@
 }
 
 // What it would have if all that is wanted now were divided anew.
-Units Divider::Target(Time now, Life who) const {
+Units Divider::Target(Time now, Incarnation who) const {
   std::vector<Units> wants;
   std::size_t own = 0;
   for (const auto& [life, account] : lives_) {
--- a/src/budget/parts.hpp
+++ b/src/budget/parts.hpp
@@ -16,7 +16,7 @@
 namespace curlewdoor::budget {
 
 using duty::Duration;
-using duty::Life;
+using duty::Incarnation;
 using duty::Time;
 
 // Of whatever is divided: requests at once, or thousandths of a rate. Whole numbers, so that sums are exact.
@@ -26,7 +26,7 @@
   Units whole = 0;           // above 0
   Units reserve = 0;         // of it, set aside for gateways that are cut off; 0 to whole
   std::size_t gateways = 1;  // of the whole fleet, as configured: never those that somebody sees
-  duty::Terms lease{};       // how long a part lasts, and how far clocks may differ
+  duty::LeaseTerms lease{};  // how long a part lasts, and how far clocks may differ
 
   Units divided() const { return whole - reserve; }
   // Each gateway's without asking anybody.
@@ -35,7 +35,7 @@
 
 struct Want {
   std::uint64_t question = 0;  // of this life; rises
-  Life who = 0;
+  Incarnation who = 0;
   std::uint64_t token = 0;  // of the holding that it asks, as far as it knows
   Units part = 0;           // in force as it asks, granted by whomever
   Units want = 0;
@@ -43,7 +43,7 @@
 
 struct Grant {
   std::uint64_t question = 0;
-  Life who = 0;             // whose question it was: another life numbers its own anew
+  Incarnation who = 0;      // whose question it was: another life numbers its own anew
   std::uint64_t token = 0;  // of the divider's holding of its duty
   bool taken = true;        // false: the question was for another holding; ask again, this one
   Units part = 0;
@@ -52,7 +52,7 @@
 // A gateway's side of one budget.
 class Part {
  public:
-  Part(const Terms& terms, Life life) : terms_(terms), life_(life) {}
+  Part(const Terms& terms, Incarnation life) : terms_(terms), life_(life) {}
 
   // Answers to earlier questions are for nothing from now on.
   Want Ask(Time now, Units want) {
@@ -67,7 +67,7 @@
     if (!grant.taken || grant.who != life_ || grant.question != question_ || grant.token < token_ ||
         answered_ == std::pair(question_, grant.token))
       return false;
-    const Time until = asked_at_ + terms_.lease.held();
+    const Time until = asked_at_ + terms_.lease.hold_time();
     if (now >= until) return false;
     token_ = grant.token;
     answered_ = {question_, grant.token};
@@ -87,7 +87,7 @@
 
  private:
   Terms terms_;
-  Life life_;
+  Incarnation life_;
   std::uint64_t question_ = 0, token_ = 0, divider_ = 0;
   std::pair<std::uint64_t, std::uint64_t> answered_{};  // question and token of the last grant taken
   Units part_ = 0;
@@ -106,7 +106,7 @@
 
   // `gained`: when it came to hold the duty; `token`: of that holding.
   Divider(const Terms& terms, std::uint64_t token, Time gained)
-      : terms_(terms), token_(token), grants_from_(gained + terms.lease.silence()) {}
+      : terms_(terms), token_(token), grants_from_(gained + terms.lease.restart_wait()) {}
 
   // Until what dividers before it have granted is over it grants nobody more than what that one says it
   // holds, and only to questions asked of this holding: what was in force before it began may have gone to
@@ -125,15 +125,15 @@
     Units want = 0;
     Time ends{};  // of both
   };
-  const std::map<Life, Account>& accounts() const { return lives_; }
+  const std::map<Incarnation, Account>& accounts() const { return lives_; }
 
  private:
-  Units Target(Time now, Life who) const;
+  Units Target(Time now, Incarnation who) const;
 
   Terms terms_;
   std::uint64_t token_;
   Time grants_from_;
-  std::map<Life, Account> lives_;
+  std::map<Incarnation, Account> lives_;
 };
 
 }  // namespace curlewdoor::budget
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "duty/machine.hpp"
+#include "duty/duty_manager.hpp"
 #include "fleet/message.hpp"
 #include "util/hash.hpp"
 #include "util/number.hpp"
@@ -199,7 +199,7 @@
 constexpr std::size_t kMostSeeds = 16;
 
 bool IsFleetName(const std::string& text) {
-  return !text.empty() && text.size() <= fleet::kMostName &&
+  return !text.empty() && text.size() <= fleet::kMaxNameBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~' && c != ','; });
 }
 
@@ -252,7 +252,7 @@
     }
   }
   if (!found->contains("size")) reader.Fail("fleet.size", "is missing");
-  fleet.size = reader.Number<std::size_t>("fleet", "size", 1, fleet::kMostMembers, 1);
+  fleet.size = reader.Number<std::size_t>("fleet", "size", 1, fleet::kMaxMembers, 1);
   const json& size = found->contains("size") ? (*found)["size"] : json(1);
   if (!size.is_number_integer()) reader.Fail("fleet.size", "is not a whole number");
   if (fleet.size < fleet.seeds.size())
@@ -296,9 +296,9 @@
     if (std::find(std::begin(kKnown), std::end(kKnown), key) == std::end(kKnown))
       reader.Fail("duty." + key, "is not known");
   }
-  duty.voters = ReadNames(reader, *found, "voters", duty::kMostVoters, fleet::kMostName);
-  duty.voters_before = ReadNames(reader, *found, "voters_before", duty::kMostVoters, fleet::kMostName);
-  duty.names = ReadNames(reader, *found, "names", duty::kMostDuties, duty::kMostName);
+  duty.voters = ReadNames(reader, *found, "voters", duty::kMaxVoters, fleet::kMaxNameBytes);
+  duty.voters_before = ReadNames(reader, *found, "voters_before", duty::kMaxVoters, fleet::kMaxNameBytes);
+  duty.names = ReadNames(reader, *found, "names", duty::kMaxDuties, duty::kMaxDutyNameBytes);
   if (duty.voters.empty()) reader.Fail("duty.voters", "is missing or empty");
   if (duty.names.empty()) reader.Fail("duty.names", "is missing or empty");
   for (const auto& [key, list] :
--- a/src/duty/lease.hpp
+++ b/src/duty/lease.hpp
@@ -1,7 +1,8 @@
-// A duty that one gateway holds at a time: the promise of a voter, and the lease of a candidate that a
-// majority has said yes to. Pure; each side tells its own monotonic time, and no clock is compared with
-// another. The argument why two never hold together, and what it assumes: docs/duties.md. What asks, waits
-// and sends is src/duty/machine.
+// Leases for duties, which at most one gateway holds at a time: a voter promises a duty to one candidate, and
+// a candidate holds the lease once a majority of voters has granted it. Pure: each side passes in its own
+// monotonic time, and clocks of different gateways are never compared. docs/duties.md proves that two
+// gateways never hold a duty together and lists the assumptions. src/duty/duty_manager sends the messages and
+// keeps the timers.
 #pragma once
 
 #include <algorithm>
@@ -16,185 +17,202 @@
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::nanoseconds;
 
-struct Terms {
-  Duration lease = std::chrono::seconds(3);  // L, of a voter's clock, from after its yes
-  double clock_bound = 0.01;  // e: each clock runs within 1 - e and 1 + e of true time; below 1
-  std::size_t voters = 3;     // an odd number
-  // While voters change: lists of them by number, a majority of each is needed. Empty: one list, of all.
-  std::vector<std::vector<std::size_t>> lists{};
+struct LeaseTerms {
+  // Duration of a promise (L), on the voter's clock, from the moment of the grant.
+  Duration lease = std::chrono::seconds(3);
+  // Clock error (e): every clock runs at between 1 - e and 1 + e of true time. Below 1.
+  double clock_bound = 0.01;
+  std::size_t voters = 3;  // an odd number
+  // Lists of voter indices while the voters change; a majority of each list is required. Empty: a single list
+  // of all voters.
+  std::vector<std::vector<std::size_t>> voter_lists{};
 
   std::size_t majority() const { return voters / 2 + 1; }
-  bool Enough(const std::set<std::size_t>& of) const {
-    if (lists.empty()) return of.size() >= majority();
-    for (const std::vector<std::size_t>& list : lists) {
-      std::size_t said = 0;
-      for (std::size_t voter : list) said += of.count(voter);
-      if (2 * said <= list.size()) return false;
+  bool IsMajority(const std::set<std::size_t>& granting) const {
+    if (voter_lists.empty()) return granting.size() >= majority();
+    for (const std::vector<std::size_t>& list : voter_lists) {
+      std::size_t votes = 0;
+      for (std::size_t voter : list) votes += granting.count(voter);
+      if (2 * votes <= list.size()) return false;
     }
     return true;
   }
-  // Of the holder's clock, from before it asked: over before any voter's promise is.
-  Duration held() const { return Times((1 - clock_bound) / (1 + clock_bound)); }
-  // Of the clock of a voter that starts: what its earlier life promised is over by then.
-  Duration silence() const { return Times((1 + clock_bound) / (1 - clock_bound)); }
+  // How long a holder may act, on its own clock and from before it sent the request. Ends before any voter's
+  // promise does.
+  Duration hold_time() const { return Scaled((1 - clock_bound) / (1 + clock_bound)); }
+  // How long a restarted voter abstains, on its own clock. Every promise of its previous incarnation has
+  // expired by then.
+  Duration restart_wait() const { return Scaled((1 + clock_bound) / (1 - clock_bound)); }
 
  private:
-  Duration Times(double factor) const {
+  Duration Scaled(double factor) const {
     return Duration(static_cast<Duration::rep>(static_cast<double>(lease.count()) * factor));
   }
 };
 
-// One life of one gateway, as the view tells them apart.
-using Life = std::uint64_t;
+// Identifies one incarnation of a gateway, as membership tells them apart.
+using Incarnation = std::uint64_t;
 
-struct Ask {
-  std::uint64_t question = 0;  // of this candidate; rises
-  Life who = 0;
+struct LeaseRequest {
+  std::uint64_t request_id = 0;  // increases with each request of this candidate
+  Incarnation candidate = 0;
   std::uint64_t token = 0;
 };
 
-struct Answer {
-  std::uint64_t question = 0;
-  bool yes = false;
-  std::uint64_t highest = 0;  // token that the voter has seen: a refused candidate goes above it
+struct LeaseReply {
+  std::uint64_t request_id = 0;
+  bool granted = false;
+  // Highest token that the voter has seen; a refused candidate continues above it.
+  std::uint64_t highest_token = 0;
 };
 
 class Voter {
  public:
-  // `floor`: a token that no earlier life can have said yes above (docs/duties.md, "Tokens rise").
-  Voter(const Terms& terms, Time started, std::uint64_t floor)
-      : lease_(terms.lease), speaks_at_(started + terms.silence()), highest_(floor) {}
-
-  // Yes where nobody else is promised anything and the token is new, or is the one that this life was
-  // promised.
-  Answer OnAsk(Time now, const Ask& ask) {
-    const bool free = now >= until_ || who_ == ask.who;
-    const bool renewed = own_token_ && who_ == ask.who && ask.token == highest_ && now < until_;
-    if (now < speaks_at_ || !free || (ask.token <= highest_ && !renewed))
-      return {ask.question, false, highest_};
-    who_ = ask.who;
+  // `floor`: no earlier incarnation can have granted a token above it (docs/duties.md, "Tokens rise").
+  Voter(const LeaseTerms& terms, Time started, std::uint64_t floor)
+      : lease_(terms.lease), votes_from_(started + terms.restart_wait()), highest_token_(floor) {}
+
+  // Grants the request if no other candidate holds a promise and the token is either new or the one already
+  // granted to this incarnation.
+  LeaseReply OnRequest(Time now, const LeaseRequest& request) {
+    const bool free = now >= promised_until_ || promised_to_ == request.candidate;
+    const bool renewed = own_token_ && promised_to_ == request.candidate && request.token == highest_token_ &&
+                         now < promised_until_;
+    if (now < votes_from_ || !free || (request.token <= highest_token_ && !renewed))
+      return {request.request_id, false, highest_token_};
+    promised_to_ = request.candidate;
     own_token_ = true;
-    highest_ = ask.token;
-    until_ = now + lease_;
-    return {ask.question, true, highest_};
+    highest_token_ = request.token;
+    promised_until_ = now + lease_;
+    return {request.request_id, true, highest_token_};
   }
 
-  // The holder, which has stopped acting before it says so, gives up what it was promised: to another life,
-  // or to whoever asks (0). What comes late or twice finds another token or holder, and changes nothing.
-  bool OnPass(Time now, Life from, std::uint64_t token, Life to) {
-    if (now < speaks_at_ || now >= until_ || who_ != from || token != highest_) return false;
-    if (to == 0) until_ = now;
-    who_ = to;
-    // Guards against the next holder taking up the token of the one before, where it had asked for the same
-    // number and its question comes only now (found by the model check).
+  // Passes the promise of the holder, which stopped acting before it sent this, to the incarnation `to`, or
+  // releases it (0). A late or repeated transfer finds another token or holder and has no effect.
+  bool OnTransfer(Time now, Incarnation from, std::uint64_t token, Incarnation to) {
+    if (now < votes_from_ || now >= promised_until_ || promised_to_ != from || token != highest_token_)
+      return false;
+    if (to == 0) promised_until_ = now;
+    promised_to_ = to;
+    // Prevents the next holder from renewing its predecessor's token, if it had requested the same number and
+    // its request arrives only now (found by the model check).
     own_token_ = false;
     return true;
   }
-  // How long nobody else can be promised anything; zero: free.
-  Duration Bound(Time now) const { return std::max({Duration::zero(), until_ - now, speaks_at_ - now}); }
+  // How long no other candidate can receive a promise; zero: the duty is free.
+  Duration RemainingPromise(Time now) const {
+    return std::max({Duration::zero(), promised_until_ - now, votes_from_ - now});
+  }
 
-  // An upgrade is one voter: its promise goes over. Times of one machine's clock.
+  // State passed to the new process of an upgrade, which continues as the same voter. Times are on the clock
+  // of this machine.
   struct Promise {
-    Time speaks_at{}, until{};
-    Life who = 0;
-    std::uint64_t highest = 0;
+    Time votes_from{}, promised_until{};
+    Incarnation promised_to = 0;
+    std::uint64_t highest_token = 0;
     bool own_token = false;
   };
-  Promise HandOn() const { return {speaks_at_, until_, who_, highest_, own_token_}; }
-  void TakeOver(const Promise& promise) {
-    speaks_at_ = promise.speaks_at;
-    until_ = promise.until;
-    who_ = promise.who;
-    own_token_ = promise.own_token && promise.highest >= highest_;
-    highest_ = std::max(highest_, promise.highest);
+  Promise ExportState() const {
+    return {votes_from_, promised_until_, promised_to_, highest_token_, own_token_};
+  }
+  void ImportState(const Promise& promise) {
+    votes_from_ = promise.votes_from;
+    promised_until_ = promise.promised_until;
+    promised_to_ = promise.promised_to;
+    own_token_ = promise.own_token && promise.highest_token >= highest_token_;
+    highest_token_ = std::max(highest_token_, promise.highest_token);
   }
   void SetLease(Duration lease) { lease_ = lease; }
-  // It can't know what was promised in its name meanwhile.
-  void FallSilent(Time until) { speaks_at_ = std::max(speaks_at_, until); }
+  // Abstains until then: promises that this voter does not know of may have been made in its name.
+  void AbstainUntil(Time until) { votes_from_ = std::max(votes_from_, until); }
 
-  Time speaks_at() const { return speaks_at_; }
-  Time until() const { return until_; }
-  Life who() const { return who_; }
-  std::uint64_t highest() const { return highest_; }
+  Time votes_from() const { return votes_from_; }
+  Time promised_until() const { return promised_until_; }
+  Incarnation promised_to() const { return promised_to_; }
+  std::uint64_t highest_token() const { return highest_token_; }
 
  private:
   Duration lease_;
-  Time speaks_at_, until_{};
-  Life who_ = 0;
-  bool own_token_ = false;  // highest_ is what who_ asked for, and not one before it
-  std::uint64_t highest_;
+  Time votes_from_, promised_until_{};
+  Incarnation promised_to_ = 0;
+  // Whether promised_to_ requested highest_token_ itself, rather than inheriting it from the previous holder.
+  bool own_token_ = false;
+  std::uint64_t highest_token_;
 };
 
 class Candidate {
  public:
-  Candidate(const Terms& terms, Life life) : terms_(terms), life_(life) {}
-
-  // A new question, to all voters. While it holds it asks for the same token again: a renewal.
-  Ask Begin(Time now) {
-    if (!May(now)) token_ = ++highest_;
-    asked_at_ = now;
-    yes_.clear();
-    return {++question_, life_, token_};
+  Candidate(const LeaseTerms& terms, Incarnation incarnation) : terms_(terms), incarnation_(incarnation) {}
+
+  // Starts a new request to all voters. A holder asks for the same token again, which renews the lease.
+  LeaseRequest BeginRequest(Time now) {
+    if (!IsHolding(now)) token_ = ++highest_token_;
+    requested_at_ = now;
+    granted_by_.clear();
+    return {++request_id_, incarnation_, token_};
   }
-  // Of an earlier question it says nothing, and a voter counts once.
-  void OnAnswer(std::size_t voter, const Answer& answer) {
-    if (answer.question != question_ || voter >= terms_.voters) return;
-    if (answer.highest > highest_) highest_ = answer.highest;
-    if (!answer.yes) return;
-    yes_.insert(voter);
-    if (!terms_.Enough(yes_)) return;
-    held_until_ = asked_at_ + terms_.held();
+  // Counts each voter once and ignores replies to earlier requests.
+  void OnReply(std::size_t voter, const LeaseReply& reply) {
+    if (reply.request_id != request_id_ || voter >= terms_.voters) return;
+    if (reply.highest_token > highest_token_) highest_token_ = reply.highest_token;
+    if (!reply.granted) return;
+    granted_by_.insert(voter);
+    if (!terms_.IsMajority(granted_by_)) return;
+    held_until_ = requested_at_ + terms_.hold_time();
     held_token_ = token_;
   }
 
-  // Gives the duty up: nothing that is still on its way counts for it.
-  void Give() {
+  // Releases the duty. Replies that are still in flight no longer count.
+  void Release() {
     held_until_ = {};
-    asked_at_ = {};
-    ++question_;
-    yes_.clear();
+    requested_at_ = {};
+    ++request_id_;
+    granted_by_.clear();
   }
-  // A voter has told of a token without being asked for one.
-  void Saw(std::uint64_t token) { highest_ = std::max(highest_, token); }
-  void SetTerms(const Terms& terms) { terms_ = terms; }
-
-  // An upgrade is one candidate.
-  struct Standing {
-    std::uint64_t question = 0, token = 0, highest = 0, held_token = 0;
-    Time asked_at{}, held_until{};
+  // Records a token that a voter reported outside of a reply to a request.
+  void ObserveToken(std::uint64_t token) { highest_token_ = std::max(highest_token_, token); }
+  void SetTerms(const LeaseTerms& terms) { terms_ = terms; }
+
+  // State passed to the new process of an upgrade, which continues as the same candidate.
+  struct Snapshot {
+    std::uint64_t request_id = 0, token = 0, highest_token = 0, held_token = 0;
+    Time requested_at{}, held_until{};
   };
-  Standing HandOn() const { return {question_, token_, highest_, held_token_, asked_at_, held_until_}; }
-  void TakeOver(const Standing& standing) {
-    question_ = standing.question + 1;  // answers to what the other process asked are not for this one
-    token_ = standing.token;
-    highest_ = standing.highest;
-    held_token_ = standing.held_token;
-    asked_at_ = standing.asked_at;
-    held_until_ = standing.held_until;
-    yes_.clear();
+  Snapshot ExportState() const {
+    return {request_id_, token_, highest_token_, held_token_, requested_at_, held_until_};
+  }
+  void ImportState(const Snapshot& snapshot) {
+    // Replies to requests of the other process must not count here.
+    request_id_ = snapshot.request_id + 1;
+    token_ = snapshot.token;
+    highest_token_ = snapshot.highest_token;
+    held_token_ = snapshot.held_token;
+    requested_at_ = snapshot.requested_at;
+    held_until_ = snapshot.held_until;
+    granted_by_.clear();
   }
 
-  // To be asked at each act, which carries token().
-  bool May(Time now) const { return now < held_until_; }
+  // Must be checked before each action; the action carries token().
+  bool IsHolding(Time now) const { return now < held_until_; }
   std::uint64_t token() const { return held_token_; }
   Time held_until() const { return held_until_; }
-  Time asked_at() const { return asked_at_; }
-  std::uint64_t question() const { return question_; }
-  std::uint64_t asked_token() const { return token_; }
-  std::uint64_t highest() const { return highest_; }
-  const std::set<std::size_t>& yes() const { return yes_; }
-  // What is acted upon has refused the token, and told its highest.
-  void Refused(std::uint64_t highest) {
-    if (highest > highest_) highest_ = highest;
+  Time requested_at() const { return requested_at_; }
+  std::uint64_t request_id() const { return request_id_; }
+  std::uint64_t requested_token() const { return token_; }
+  std::uint64_t highest_token() const { return highest_token_; }
+  const std::set<std::size_t>& granted_by() const { return granted_by_; }
+  // The target of an action rejected the token and reported the highest one it has seen.
+  void OnTokenRejected(std::uint64_t highest_token) {
+    if (highest_token > highest_token_) highest_token_ = highest_token;
     held_until_ = {};
   }
 
  private:
-  Terms terms_;
-  Life life_;
-  std::uint64_t question_ = 0, token_ = 0, highest_ = 0, held_token_ = 0;
-  Time asked_at_{}, held_until_{};
-  std::set<std::size_t> yes_;
+  LeaseTerms terms_;
+  Incarnation incarnation_;
+  std::uint64_t request_id_ = 0, token_ = 0, highest_token_ = 0, held_token_ = 0;
+  Time requested_at_{}, held_until_{};
+  std::set<std::size_t> granted_by_;
 };
 
 }  // namespace curlewdoor::duty
--- a/src/duty/message.hpp
+++ b/src/duty/message.hpp
@@ -1,5 +1,5 @@
-// What gateways tell one another about duties, as values and as the bytes of a payload of the fleet's link
-// (channel kChannel). Each loss, repeat and reordering is harmless: docs/duties.md. Bounded and checked.
+// Messages between gateways about duties, and their encoding as payloads of the membership protocol (channel
+// kDutyChannel). Loss, repetition and reordering are harmless (docs/duties.md). Decoding checks every bound.
 #pragma once
 
 #include <cstdint>
@@ -12,46 +12,50 @@
 
 namespace curlewdoor::duty {
 
-inline constexpr std::uint8_t kChannel = 1;
-inline constexpr std::uint8_t kVersion = 1;
-inline constexpr std::size_t kMostDuties = 16;  // of a fleet
-inline constexpr std::size_t kMostName = 24;    // bytes of a duty's name; 1 at the least
-
-enum class Kind : std::uint8_t {
-  kLook = 1,  // to voters: what have you promised of these? owed: kSeen
-  kSeen,
-  kAsk,  // to voters: promise me; owed: kAnswer
-  kAnswer,
-  kPass,  // to voters, from a holder that has stopped: what was promised is `to`'s now; owed: kPassed
-  kPassed,
-  kTake  // to the successor: ask, the voters know
+inline constexpr std::uint8_t kDutyChannel = 1;
+inline constexpr std::uint8_t kMessageVersion = 1;
+inline constexpr std::size_t kMaxDuties = 16;         // per fleet
+inline constexpr std::size_t kMaxDutyNameBytes = 24;  // length of a duty name in bytes; at least 1
+
+enum class MessageKind : std::uint8_t {
+  kQuery = 1,  // to voters: asks what they have promised; answered by kQueryReply
+  kQueryReply,
+  kRequest,  // to voters: asks for a promise; answered by kReply
+  kReply,
+  // To voters, from a holder that has stopped acting: passes the promise to `incarnation`. Answered by
+  // kTransferReply.
+  kTransfer,
+  kTransferReply,
+  kTakeOver  // to the successor: the voters are informed, so request the lease now
 };
-inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(Kind::kTake);
+inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(MessageKind::kTakeOver);
 
-// The lists that a gateway goes by, as one number each; 0: none.
-struct Lists {
-  std::uint64_t voters = 0, before = 0;
-  bool operator==(const Lists&) const = default;
+// The voter lists that a gateway applies, each as a fingerprint; 0: no list.
+struct VoterLists {
+  std::uint64_t voters = 0, previous = 0;
+  bool operator==(const VoterLists&) const = default;
 };
 
-struct Entry {
+struct DutyEntry {
   std::string duty{};
-  std::uint64_t question = 0, token = 0;  // of a voter: the highest token that it has seen
-  bool yes = false;                       // kAnswer, kPassed
-  Duration bound{};                       // of a voter: how long nobody else can be promised anything
-  Life who = 0;                           // kSeen, kAnswer: whom it is promised to; kPass: to whom
-  std::string holder{};                   // ... by name
+  // `token`: from a voter, the highest token that it has seen.
+  std::uint64_t request_id = 0, token = 0;
+  bool granted = false;  // in kReply and kTransferReply
+  Duration remaining{};  // from a voter: how long no other candidate can receive a promise
+  // In kQueryReply and kReply: the incarnation that holds the promise; in kTransfer: the successor.
+  Incarnation incarnation = 0;
+  std::string holder{};  // name of that gateway
 };
 
-struct Message {
-  Kind kind = Kind::kLook;
-  std::uint32_t round = 0;  // of a look, told back
-  Lists lists{};            // that the sender goes by
-  Duration lease{};         // and its lease
-  std::vector<Entry> entries{};
+struct DutyMessage {
+  MessageKind kind = MessageKind::kQuery;
+  std::uint32_t round = 0;  // of a query, repeated in its reply
+  VoterLists lists{};       // that the sender applies
+  Duration lease{};         // of the sender
+  std::vector<DutyEntry> entries{};
 };
 
-std::string Encode(const Message& message);
-std::optional<Message> Decode(std::string_view bytes);
+std::string Encode(const DutyMessage& message);
+std::optional<DutyMessage> Decode(std::string_view bytes);
 
 }  // namespace curlewdoor::duty
--- a/src/duty/view.cpp
+++ b/src/duty/view.cpp
@@ -2,15 +2,16 @@
 
 namespace curlewdoor::duty {
 
-// Outside of its fleet, or on its way out, a gateway sees nobody.
-View ViewOf(const fleet::Machine& machine) {
-  View view;
-  view.life = LifeOf(machine.self().name, machine.self().boot);
-  if (!machine.joined() || machine.left() || !machine.refused().empty()) return view;
-  for (const auto& [name, member] : machine.others()) {
-    const fleet::Record& record = member.record;
+// A gateway that has not joined, is leaving or was rejected sees no other gateways.
+FleetView FleetViewOf(const fleet::MembershipProtocol& membership) {
+  FleetView view;
+  view.incarnation = IncarnationOf(membership.self().name, membership.self().boot);
+  if (!membership.joined() || membership.left() || !membership.rejection().empty()) return view;
+  for (const auto& [name, member] : membership.others()) {
+    const fleet::MemberRecord& record = member.record;
     if (record.present())
-      view.others[name] = {LifeOf(name, record.boot), record.about.find(kAble) != std::string::npos};
+      view.others[name] = {IncarnationOf(name, record.boot),
+                           record.metadata.find(kDutiesTag) != std::string::npos};
   }
   return view;
 }
--- a/src/duty/view.hpp
+++ b/src/duty/view.hpp
@@ -1,16 +1,16 @@
-// What duties take from the view of the fleet: whom to ask, and who takes duties on.
+// Derives from the membership which gateways to contact about duties and which ones accept duties.
 #pragma once
 
 #include <string_view>
 
-#include "duty/machine.hpp"
-#include "fleet/machine.hpp"
+#include "duty/duty_manager.hpp"
+#include "fleet/membership_protocol.hpp"
 
 namespace curlewdoor::duty {
 
-// What a gateway tells of itself in the view where it takes duties on.
-inline constexpr std::string_view kAble = ",duties";
+// Metadata tag of a gateway that accepts duties.
+inline constexpr std::string_view kDutiesTag = ",duties";
 
-View ViewOf(const fleet::Machine& machine);
+FleetView FleetViewOf(const fleet::MembershipProtocol& membership);
 
 }  // namespace curlewdoor::duty
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -1,5 +1,6 @@
-// What gateways tell one another of a gateway, and which word of two goes before the other. Pure values.
-// Source: SWIM (Das, Gupta, Motivala, 2002), 4.2; `boot` and `left` are ours. docs/fleet-view.md.
+// What gateways tell one another about a member, and which of two records supersedes the other. Pure values.
+// Based on SWIM (Das, Gupta, Motivala, 2002), section 4.2; `boot` and the state kLeft are additions. See
+// docs/fleet-view.md.
 #pragma once
 
 #include <chrono>
@@ -12,43 +13,47 @@
 
 namespace curlewdoor::fleet {
 
-// Time of the view: monotonic, of this process alone. It never meets the wall clock, which may be set back.
+// Monotonic time of this process. Membership never uses the wall clock, which may be set back.
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::nanoseconds;
 
-inline constexpr std::size_t kMostName = 64;       // bytes of a gateway's or a fleet's name; 1 at the least
-inline constexpr std::size_t kMostAbout = 64;      // bytes of what a gateway tells of itself
-inline constexpr std::size_t kMostMembers = 1024;  // of a view, the dead that are remembered included
+inline constexpr std::size_t kMaxNameBytes = 64;  // length of a gateway or fleet name in bytes; at least 1
+inline constexpr std::size_t kMaxMetadataBytes = 64;  // length of the metadata of a gateway in bytes
+inline constexpr std::size_t kMaxMembers = 1024;      // of a view, including dead members that are remembered
 
-// In the order of how far a word goes, at one incarnation.
-enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
-constexpr std::string_view Word(State state) {
-  constexpr std::string_view kWords[] = {"alive", "suspect", "dead", "left"};
-  return kWords[static_cast<std::size_t>(state)];
+// In order of precedence at the same incarnation.
+enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
+constexpr std::string_view StateName(MemberState state) {
+  constexpr std::string_view kNames[] = {"alive", "suspect", "dead", "left"};
+  return kNames[static_cast<std::size_t>(state)];
 }
 
-// A word about a member, as it passes between gateways.
-struct Record {
+// State of a member, as it is gossiped between gateways.
+struct MemberRecord {
   std::string name;
-  std::uint64_t boot = 0;         // of one life of that name; a later life has a higher one
-  std::uint32_t incarnation = 0;  // raised by the member itself alone, to refute what is said of it
-  State state = State::kAlive;
-  Address address;    // where it is reached
-  std::string about;  // its own words: zone, version; only beside kAlive
-  std::string by;     // whose word it is that it is not alive
-
-  bool present() const { return state == State::kAlive || state == State::kSuspect; }
-  bool operator==(const Record&) const = default;
+  // Identifies one start of the process under that name; higher for later starts.
+  std::uint64_t boot = 0;
+  // Raised only by the member itself, to refute a suspicion.
+  std::uint32_t incarnation = 0;
+  MemberState state = MemberState::kAlive;
+  Address address;  // where the member is reached
+  // Set by the member itself: zone, version. Only sent in state kAlive.
+  std::string metadata;
+  std::string reported_by;  // the member that reported a state other than kAlive
+
+  bool present() const { return state == MemberState::kAlive || state == MemberState::kSuspect; }
+  bool operator==(const MemberRecord&) const = default;
 };
 
-// Whether `word` goes before what is known. A later life goes before all that was said of an earlier one; who
-// has left can't be talked back in one life; else the higher incarnation, and at the same one the worse word.
-constexpr bool GoesBefore(const Record& word, const Record& known) {
-  if (word.boot != known.boot) return word.boot > known.boot;
-  if (known.state == State::kLeft) return false;
-  if (word.state == State::kLeft) return true;
-  if (word.incarnation != known.incarnation) return word.incarnation > known.incarnation;
-  return word.state > known.state;
+// Whether `update` supersedes `known`. A later boot supersedes everything known of an earlier one, and a
+// member that has left stays so for that boot. Otherwise the higher incarnation wins, and at the same
+// incarnation the worse state.
+constexpr bool Supersedes(const MemberRecord& update, const MemberRecord& known) {
+  if (update.boot != known.boot) return update.boot > known.boot;
+  if (known.state == MemberState::kLeft) return false;
+  if (update.state == MemberState::kLeft) return true;
+  if (update.incarnation != known.incarnation) return update.incarnation > known.incarnation;
+  return update.state > known.state;
 }
 
 }  // namespace curlewdoor::fleet
--- a/src/fleet/message.hpp
+++ b/src/fleet/message.hpp
@@ -1,5 +1,6 @@
-// What passes between gateways, as values and as bytes. Bounded and checked: a reader takes nothing that was
-// cut, changed, made by another fleet or by a newer major version. docs/fleet-view.md has it byte by byte.
+// Messages of the membership protocol and their encoding. Decoding checks every bound and rejects messages
+// that are truncated, corrupted, from another fleet or of a newer major version. docs/fleet-view.md specifies
+// the format byte by byte.
 #pragma once
 
 #include <cstddef>
@@ -13,50 +14,51 @@
 
 namespace curlewdoor::fleet {
 
-inline constexpr std::uint8_t kMajor = 1, kMinor = 0;
-inline constexpr std::size_t kMostDatagram = 1400;        // bytes; larger ones may be cut up on their way
-inline constexpr std::size_t kMostExchange = 384 * 1024;  // bytes of a full exchange, by TCP
-inline constexpr std::size_t kMostPayload = 1024;         // bytes of another subsystem's message
-
-enum class Kind : std::uint8_t {
-  kPing = 1,     // to `target`; owed: an ack with its sequence
-  kAck,          // from its sender, or, for one that was asked through it, of `target`
-  kNack,         // the helper is there, `target` has not answered it in time
-  kPingRequest,  // to a helper: ping `target` at `target_address` for me
-  kGossip,       // rumours alone
-  kTaken,        // to another process under the sender's name
-  kExchange,     // by TCP: all that the sender knows; owed: a kExchangeReply
+inline constexpr std::uint8_t kMajorVersion = 1, kMinorVersion = 0;
+inline constexpr std::size_t kMaxDatagramBytes = 1400;        // larger datagrams may be fragmented
+inline constexpr std::size_t kMaxExchangeBytes = 384 * 1024;  // a full exchange, by TCP
+inline constexpr std::size_t kMaxPayloadBytes = 1024;         // a message of another subsystem
+
+enum class MessageKind : std::uint8_t {
+  kPing = 1,     // to `target`; answered by a kAck with the same sequence
+  kAck,          // from the target itself, or relayed by a helper that pinged `target`
+  kNack,         // from a helper: `target` has not answered it in time
+  kPingRequest,  // to a helper: ping `target` at `target_address` on behalf of the sender
+  kGossip,       // rumours only
+  kNameTaken,    // to another process that uses the sender's name
+  kExchange,     // by TCP: full state of the sender; answered by kExchangeReply
   kExchangeReply,
-  kPayload  // a message of a subsystem that stands on the view, by its channel
+  kPayload  // a message of another subsystem, identified by its channel
 };
-inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(Kind::kPayload);
+inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(MessageKind::kPayload);
 
-struct Message {
-  Kind kind = Kind::kPing;
+struct GossipMessage {
+  MessageKind kind = MessageKind::kPing;
   std::uint32_t sequence = 0;
-  Record sender{};
-  std::string target{};  // a member's name
+  MemberRecord sender{};
+  std::string target{};  // name of a member
   Address target_address{};
-  std::vector<Record> rumours{};
-  std::uint64_t view = 0;    // the sender's Fingerprint(), with pings and acks; 0: not told
-  std::uint8_t channel = 0;  // of a kPayload: which subsystem
+  std::vector<MemberRecord> rumours{};
+  std::uint64_t fingerprint = 0;  // Fingerprint() of the sender, with pings and acks; 0: not sent
+  std::uint8_t channel = 0;       // of a kPayload: the subsystem
   std::string payload{};
 };
 
-// Why bytes were not taken.
-enum class Drop : std::uint8_t { kNone, kMalformed, kForeign, kVersion, kTooLong };
+// Why a message was rejected.
+enum class DropReason : std::uint8_t { kNone, kMalformed, kForeign, kVersion, kTooLong };
 
-std::string Encode(const Message& message, std::string_view fleet);
-// `fleet`: the name that it must carry. On nullopt `why` tells; with kVersion, `major` which one it has.
-std::optional<Message> Decode(std::string_view bytes, std::string_view fleet, Drop& why,
-                              int* major = nullptr);
+std::string Encode(const GossipMessage& message, std::string_view fleet);
+// `fleet`: the fleet name that the message must carry. On nullopt `reason` is set and, for kVersion,
+// `sender_major` is the major version of the message.
+std::optional<GossipMessage> Decode(std::string_view bytes, std::string_view fleet, DropReason& reason,
+                                    int* sender_major = nullptr);
 
-// Bytes that a rumour takes within a message, and those of a message without rumours, at the most.
-std::size_t SizeOf(const Record& record);
-std::size_t SizeOfHead(const Message& message, std::string_view fleet);
+// Upper bounds of the encoded size of a rumour within a message, and of a message without rumours.
+std::size_t EncodedSize(const MemberRecord& record);
+std::size_t EncodedHeadSize(const GossipMessage& message, std::string_view fleet);
 
-// Plain records one behind another, for the process that takes over.
-std::string EncodeRecords(const std::vector<Record>& records);
-std::optional<std::vector<Record>> DecodeRecords(std::string_view bytes);
+// Concatenated records, for the process that takes over in an upgrade.
+std::string EncodeRecords(const std::vector<MemberRecord>& records);
+std::optional<std::vector<MemberRecord>> DecodeRecords(std::string_view bytes);
 
 }  // namespace curlewdoor::fleet
--- a/src/fleetkit/virtual_fleet.cpp
+++ b/src/fleetkit/virtual_fleet.cpp
@@ -11,9 +11,9 @@
 namespace curlewdoor::fleetkit {
 namespace {
 
-using fleet::Machine;
-using fleet::Message;
-using fleet::Out;
+using fleet::GossipMessage;
+using fleet::MembershipProtocol;
+using fleet::ProtocolOutput;
 
 constexpr double kWayLeast_s = 0.0002, kWayMost_s = 0.001;  // one way of a datagram
 constexpr double kReorder_s = 0.3;
@@ -92,7 +92,7 @@
   for (std::size_t g = 0; g < gateways_.size(); ++g) {
     Gateway& gateway = gateways_[g];
     if (!gateway.up || !gateway.stopped || !gateway.duties) continue;
-    duty::Out out;
+    duty::DutyOutput out;
     gateway.duties->Tick(Local(gateway), out);
     CarryDuties(static_cast<int>(g), std::move(out));
   }
@@ -105,12 +105,13 @@
     Seen& seen = seen_[g];
     seen = {};
     if (!gateway.up || gateway.stopped) continue;
-    const Machine& machine = *gateway.machine;
-    seen = {true, machine.settled(), !machine.refused().empty(), machine.self().boot, machine.Fingerprint()};
+    const MembershipProtocol& machine = *gateway.machine;
+    seen = {true, machine.settled(), !machine.rejection().empty(), machine.self().boot,
+            machine.Fingerprint()};
     if (gateway.lowest_token != 0) seen.holds = 1;
     if (!gateway.duties || mutant_ == Mutant::kLowestName) continue;
-    for (const duty::Standing& standing : gateway.duties->Standings(Local(gateway)))
-      seen.holds += standing.left > duty::Duration::zero() ? 1 : 0;
+    for (const duty::DutyStatus& standing : gateway.duties->Statuses(Local(gateway)))
+      seen.holds += standing.lease_left > duty::Duration::zero() ? 1 : 0;
   }
   stage_.Look(now_, seen_, *this);
 }
@@ -120,14 +121,15 @@
   std::string text;
   for (const Gateway& gateway : gateways_) {
     if (!gateway.up || gateways_.size() > kShown) continue;
-    const Machine& machine = *gateway.machine;
+    const MembershipProtocol& machine = *gateway.machine;
     text += fmt::format("    {} (boot {}, incarnation {}{}{}, health {}):", gateway.name,
                         machine.self().boot % 1'000'000, machine.self().incarnation,
                         gateway.stopped ? ", stopped" : "", machine.joined() ? "" : ", not joined",
                         machine.health());
     for (const auto& [name, member] : machine.others())
-      text += fmt::format(" {}={}/{}/{}", name.substr(name.rfind('-') + 1), fleet::Word(member.record.state),
-                          member.record.boot % 1'000'000, member.record.incarnation);
+      text +=
+          fmt::format(" {}={}/{}/{}", name.substr(name.rfind('-') + 1), fleet::StateName(member.record.state),
+                      member.record.boot % 1'000'000, member.record.incarnation);
     text += '\n';
   }
   return text;
@@ -135,16 +137,16 @@
 
 // ---- Processes ----------------------------------------------------------------------------------------
 
-fleet::Options VirtualFleet::OptionsOf(int process) const {
+fleet::MembershipOptions VirtualFleet::OptionsOf(int process) const {
   const Gateway& gateway = gateways_[static_cast<std::size_t>(process)];
-  fleet::Options options;
+  fleet::MembershipOptions options;
   options.fleet = "virtual";
   options.name = gateway.name;
   options.boot = kFirstBoot + static_cast<std::uint64_t>(1000 * (now_ + gateway.offset));
   options.address = AddressOf(process);
-  options.about = scenario_.duties ? "version:0,duties" : "zone:a,version:0";
+  options.metadata = scenario_.duties ? "version:0,duties" : "zone:a,version:0";
   for (int seed = 0; seed < scenario_.seeds; ++seed) options.seeds.push_back(AddressOf(seed));
-  options.probe = std::chrono::duration_cast<fleet::Duration>(
+  options.probe_period = std::chrono::duration_cast<fleet::Duration>(
       std::chrono::duration<double, std::milli>(scenario_.probe_ms));
   options.lifeguard = scenario_.lifeguard;
   if (mutant_ == Mutant::kOneBoot) options.boot = 1;
@@ -161,15 +163,17 @@
   gateway.held.clear();
   const std::uint64_t seed = StableHash(name, seed_ + static_cast<std::uint64_t>(gateway.life) * 1'000'003 +
                                                   static_cast<std::uint64_t>(process));
-  gateway.machine = std::make_unique<Machine>(OptionsOf(process), seed);
+  gateway.machine = std::make_unique<MembershipProtocol>(OptionsOf(process), seed);
   StartDuties(process);
-  WithMachine(process, [](Machine& machine, fleet::Time now, Out& out) { machine.Start(now, out); });
+  WithMachine(process, [](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
+    machine.Start(now, out);
+  });
 }
 
 // ---- Duties -------------------------------------------------------------------------------------------
 
-duty::Options VirtualFleet::DutyOptionsOf(int process) const {
-  duty::Options options;
+duty::DutyOptions VirtualFleet::DutyOptionsOf(int process) const {
+  duty::DutyOptions options;
   options.name = gateways_[static_cast<std::size_t>(process)].name;
   options.voters = voters_;
   options.voters_before = voters_before_;
@@ -184,8 +188,8 @@
   gateway.told_view = gateway.lowest_token = 0;
   if (!scenario_.duties) return;
   const std::uint64_t boot = gateway.machine->self().boot;
-  gateway.duties = std::make_unique<duty::Machine>(DutyOptionsOf(process), boot << 20,
-                                                   StableHash(gateway.name, seed_ + boot));
+  gateway.duties = std::make_unique<duty::DutyManager>(DutyOptionsOf(process), boot << 20,
+                                                       StableHash(gateway.name, seed_ + boot));
   const bool silent = mutant_ != Mutant::kVoterNotSilent || gateway.life == 1;
   gateway.duties->Start(Local(gateway) - (silent ? fleet::Duration{} : std::chrono::hours(1)));
   At(now_, [this, process, life = gateway.life] { Act(process, life); });
@@ -197,7 +201,7 @@
   if (!gateway.up || gateway.life != life) return;
   At(now_ + scenario_.duties->record_ms / 1000, [this, process, life] { Act(process, life); });
   if (gateway.stopped) return;
-  auto token = gateway.duties->May(Local(gateway), "record");
+  auto token = gateway.duties->AuthorizeAct(Local(gateway), "record");
   if (mutant_ == Mutant::kLowestName) {
     const auto& others = gateway.machine->others();
     const bool lowest = std::none_of(others.begin(), others.end(), [&](const auto& other) {
@@ -224,8 +228,8 @@
   for (std::size_t g = 0; g < gateways_.size(); ++g) {
     Gateway& gateway = gateways_[g];
     if (gateway.name != call.entry || !gateway.up || gateway.stopped) continue;
-    duty::Out out;
-    gateway.duties->Refused(Local(gateway), call.duty, answer.number, out);
+    duty::DutyOutput out;
+    gateway.duties->OnTokenRejected(Local(gateway), call.duty, answer.number, out);
     CarryDuties(static_cast<int>(g), std::move(out));
   }
 }
@@ -244,10 +248,10 @@
     Gateway& gateway = gateways_[g];
     const int process = static_cast<int>(g);
     if (!gateway.up || gateway.stopped ||
-        !gateway.duties->WhyNot(Local(gateway), DutyOptionsOf(process)).empty())
+        !gateway.duties->ReconfigureError(Local(gateway), DutyOptionsOf(process)).empty())
       continue;
-    duty::Out out;
-    gateway.duties->Retune(Local(gateway), DutyOptionsOf(process), out);
+    duty::DutyOutput out;
+    gateway.duties->Reconfigure(Local(gateway), DutyOptionsOf(process), out);
     CarryDuties(process, std::move(out));
   }
 }
@@ -255,41 +259,41 @@
 void VirtualFleet::HandOver(int holder, int to) {
   Gateway& gateway = gateways_[static_cast<std::size_t>(holder)];
   if (!gateway.up || gateway.stopped) return;
-  duty::Out out;
-  gateway.duties->HandOver(Local(gateway), "record", NameOf(to), out);
+  duty::DutyOutput out;
+  gateway.duties->Transfer(Local(gateway), "record", NameOf(to), out);
   CarryDuties(holder, std::move(out));
 }
 
 // What the view and other gateways tell, after each call of the view's machine.
-void VirtualFleet::TellDuties(int process, const Out& told) {
+void VirtualFleet::TellDuties(int process, const ProtocolOutput& told) {
   Gateway& gateway = gateways_[static_cast<std::size_t>(process)];
   if (!gateway.duties) return;
-  duty::Out out;
+  duty::DutyOutput out;
   if (std::exchange(gateway.told_view, gateway.machine->version()) != gateway.machine->version())
-    gateway.duties->OnView(Local(gateway), duty::ViewOf(*gateway.machine), out);
-  for (const fleet::Payload& payload : told.payloads)
-    if (const auto message = duty::Decode(payload.bytes); message && payload.channel == duty::kChannel)
-      gateway.duties->OnMessage(Local(gateway), payload.from, duty::LifeOf(payload.from, payload.boot),
+    gateway.duties->OnView(Local(gateway), duty::FleetViewOf(*gateway.machine), out);
+  for (const fleet::ReceivedPayload& payload : told.payloads)
+    if (const auto message = duty::Decode(payload.bytes); message && payload.channel == duty::kDutyChannel)
+      gateway.duties->OnMessage(Local(gateway), payload.from, duty::IncarnationOf(payload.from, payload.boot),
                                 *message, out);
   CarryDuties(process, std::move(out));
 }
 
-void VirtualFleet::CarryDuties(int process, duty::Out out) {
+void VirtualFleet::CarryDuties(int process, duty::DutyOutput out) {
   Gateway& gateway = gateways_[static_cast<std::size_t>(process)];
-  for (const duty::Change& change : out.changes) {
+  for (const duty::DutyChange& change : out.changes) {
     Mix(StableHash(change.duty, change.token + static_cast<std::uint64_t>(change.kind)));
     if (mutant_ == Mutant::kLowestName) continue;
-    if (change.kind == duty::Change::Kind::kGained) {
+    if (change.kind == duty::DutyChange::Kind::kGained) {
       stage_.duties().Gained(now_, process, change.duty, change.token);
     } else {
       stage_.duties().Ended(std::min(now_, TrueTime(gateway, change.until)), process, change.duty,
-                            change.token, change.kind == duty::Change::Kind::kHandedOn);
+                            change.token, change.kind == duty::DutyChange::Kind::kTransferred);
     }
   }
-  Out sent;
-  for (duty::Sending& sending : out.messages)
-    gateway.machine->SendPayload(sending.to, duty::kChannel, std::move(sending.bytes), sent);
-  for (const fleet::Sending& sending : sent.datagrams) SendDatagram(process, sending);
+  ProtocolOutput sent;
+  for (duty::OutgoingMessage& sending : out.messages)
+    gateway.machine->SendPayload(sending.to, duty::kDutyChannel, std::move(sending.bytes), sent);
+  for (const fleet::OutgoingMessage& sending : sent.datagrams) SendDatagram(process, sending);
   Arm(process);
 }
 
@@ -303,11 +307,13 @@
 // What is owed is soon answered here: the process ends a second later.
 void VirtualFleet::Term(int process) {
   if (Gateway& gateway = gateways_[static_cast<std::size_t>(process)]; gateway.duties) {
-    duty::Out out;
+    duty::DutyOutput out;
     gateway.duties->Leave(Local(gateway), out);
     CarryDuties(process, std::move(out));
   }
-  WithMachine(process, [](Machine& machine, fleet::Time now, Out& out) { machine.Leave(now, out); });
+  WithMachine(process, [](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
+    machine.Leave(now, out);
+  });
   At(now_ + 1, [this, process, life = gateways_[static_cast<std::size_t>(process)].life] {
     if (gateways_[static_cast<std::size_t>(process)].life == life) Kill(process);
   });
@@ -326,19 +332,19 @@
 
 void VirtualFleet::Upgrade(int process) {
   Gateway& gateway = gateways_[static_cast<std::size_t>(process)];
-  const std::string duties = gateway.duties ? gateway.duties->HandOn() : "";
-  const auto records = gateway.machine->HandOn();
-  gateway.machine =
-      std::make_unique<Machine>(OptionsOf(process), StableHash(gateway.name, seed_ + 77 + next_order_));
+  const std::string duties = gateway.duties ? gateway.duties->ExportState() : "";
+  const auto records = gateway.machine->ExportState();
+  gateway.machine = std::make_unique<MembershipProtocol>(OptionsOf(process),
+                                                         StableHash(gateway.name, seed_ + 77 + next_order_));
   if (gateway.duties) {
-    gateway.duties = std::make_unique<duty::Machine>(DutyOptionsOf(process), records.front().boot << 20,
-                                                     StableHash(gateway.name, seed_ + 78 + next_order_));
-    gateway.duties->TakeOver(Local(gateway), duties);
+    gateway.duties = std::make_unique<duty::DutyManager>(DutyOptionsOf(process), records.front().boot << 20,
+                                                         StableHash(gateway.name, seed_ + 78 + next_order_));
+    gateway.duties->ImportState(Local(gateway), duties);
     gateway.duties->Start(Local(gateway));
     gateway.told_view = 0;
   }
-  WithMachine(process, [&](Machine& machine, fleet::Time now, Out& out) {
-    machine.TakeOver(now, records);
+  WithMachine(process, [&](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
+    machine.ImportState(now, records);
     machine.Start(now, out);
   });
 }
@@ -352,9 +358,10 @@
   if (gateway.held.size() < kSocketHolds) gateway.held.push_back(std::move(what));
 }
 
-void VirtualFleet::WithMachine(int process, const std::function<void(Machine&, fleet::Time, Out&)>& call) {
+void VirtualFleet::WithMachine(
+    int process, const std::function<void(MembershipProtocol&, fleet::Time, ProtocolOutput&)>& call) {
   Gateway& gateway = gateways_[static_cast<std::size_t>(process)];
-  Out out;
+  ProtocolOutput out;
   call(*gateway.machine, Local(gateway), out);
   Carry(process, std::move(out));
   Arm(process);
@@ -375,57 +382,60 @@
     if (it.wake == at) it.wake = -1;
     if (!it.up || it.stopped || it.life != life) return;
     if (const auto duty = it.duties ? it.duties->NextDue() : std::nullopt; duty && *duty <= Local(it)) {
-      duty::Out out;
+      duty::DutyOutput out;
       it.duties->Tick(Local(it), out);
       CarryDuties(process, std::move(out));
     }
     const auto next = it.machine->NextDue();
     if (next && *next <= Local(it)) {
-      WithMachine(process, [](Machine& machine, fleet::Time now, Out& out) { machine.Tick(now, out); });
+      WithMachine(process, [](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
+        machine.Tick(now, out);
+      });
     } else {
       Arm(process);
     }
   });
 }
 
-void VirtualFleet::Carry(int process, Out out) {
+void VirtualFleet::Carry(int process, ProtocolOutput out) {
   Gateway& gateway = gateways_[static_cast<std::size_t>(process)];
-  for (const fleet::Change& change : out.changes) {
+  for (const fleet::MembershipChange& change : out.changes) {
     Mix(static_cast<std::uint64_t>(change.kind) + static_cast<std::uint64_t>(1e6 * now_));
-    if (change.kind != fleet::Change::Kind::kMember) continue;
+    if (change.kind != fleet::MembershipChange::Kind::kMemberChanged) continue;
     Mix(StableHash(change.member.name, static_cast<std::uint64_t>(change.member.state)));
     const int of = ProcessAt(change.member.address);
-    if (change.member.state == fleet::State::kDead && stage_.running(of) && !stage_.stopped(of)) ++told_dead_;
-    stage_.Told(now_, process, change.member.name, fleet::Word(change.member.state));
+    if (change.member.state == fleet::MemberState::kDead && stage_.running(of) && !stage_.stopped(of))
+      ++told_dead_;
+    stage_.Told(now_, process, change.member.name, fleet::StateName(change.member.state));
   }
   if (!gateway.up) return;
-  for (const fleet::Sending& sending : out.datagrams) SendDatagram(process, sending);
-  for (const fleet::Sending& sending : out.exchanges) SendExchange(process, sending);
+  for (const fleet::OutgoingMessage& sending : out.datagrams) SendDatagram(process, sending);
+  for (const fleet::OutgoingMessage& sending : out.exchanges) SendExchange(process, sending);
   TellDuties(process, out);
 }
 
-void VirtualFleet::Mutate(int process, Message& message) const {
+void VirtualFleet::Mutate(int process, GossipMessage& message) const {
   if (mutant_ == Mutant::kNeverRefutes) message.sender.incarnation = 0;
   if (mutant_ == Mutant::kOneBoot) message.sender.boot = 1;
-  for (fleet::Record& rumour : message.rumours)
+  for (fleet::MemberRecord& rumour : message.rumours)
     if (mutant_ == Mutant::kOneBoot) rumour.boot = 1;
-  for (fleet::Record& rumour : message.rumours)
+  for (fleet::MemberRecord& rumour : message.rumours)
     if (mutant_ == Mutant::kNeverRefutes && rumour.name == gateways_[static_cast<std::size_t>(process)].name)
       rumour.incarnation = 0;
 }
 
 // ---- The network --------------------------------------------------------------------------------------
 
-void VirtualFleet::SendDatagram(int from, const fleet::Sending& sending) {
+void VirtualFleet::SendDatagram(int from, const fleet::OutgoingMessage& sending) {
   const int to = ProcessAt(sending.to);
   if (to < 0 || to >= static_cast<int>(gateways_.size())) return;
   const LinkTrouble& link = stage_.link(from, to);
-  if (mutant_ == Mutant::kDeadNotAsked && sending.message.kind == fleet::Kind::kPing) {
+  if (mutant_ == Mutant::kDeadNotAsked && sending.message.kind == fleet::MessageKind::kPing) {
     const auto& others = gateways_[static_cast<std::size_t>(from)].machine->others();
     const auto it = others.find(sending.message.target);
     if (it != others.end() && !it->second.record.present()) return;
   }
-  Message message = sending.message;
+  GossipMessage message = sending.message;
   if (mutant_ != Mutant::kNone) Mutate(from, message);
   std::string bytes = fleet::Encode(message, "virtual");
   ++traffic_.datagrams;
@@ -443,15 +453,16 @@
 }
 
 void VirtualFleet::Deliver(int to, std::string bytes) {
-  fleet::Drop why;
+  fleet::DropReason why;
   const auto message = fleet::Decode(bytes, "virtual", why);
   if (!message) return;
-  WithMachine(to,
-              [&](Machine& machine, fleet::Time now, Out& out) { machine.OnMessage(now, *message, out); });
+  WithMachine(to, [&](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
+    machine.OnMessage(now, *message, out);
+  });
 }
 
 // By TCP: whole or not at all, and an end is noticed in two seconds at the latest.
-void VirtualFleet::SendExchange(int from, const fleet::Sending& sending) {
+void VirtualFleet::SendExchange(int from, const fleet::OutgoingMessage& sending) {
   const int to = ProcessAt(sending.to);
   const Address with = sending.to;
   const int life = gateways_[static_cast<std::size_t>(from)].life;
@@ -459,7 +470,7 @@
     At(now_ + after, [this, from, with, life] {
       Run(from, [this, from, with, life] {
         if (gateways_[static_cast<std::size_t>(from)].life != life) return;
-        WithMachine(from, [&](Machine& machine, fleet::Time now, Out& out) {
+        WithMachine(from, [&](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
           machine.OnExchangeFailed(now, with, out);
         });
       });
@@ -471,20 +482,22 @@
   if (forth.cut || back.cut || gateways_[static_cast<std::size_t>(to)].stopped)
     return fail(kExchangeTimeout_s);
   const double way = 2 * standin::Uniform(random_, kWayLeast_s, kWayMost_s) + forth.delay_s;
-  Message question = sending.message;
+  GossipMessage question = sending.message;
   if (mutant_ != Mutant::kNone) Mutate(from, question);
   At(now_ + way, [this, from, to, life, question, back] {
     Run(to, [this, from, to, life, question, back] {
-      Message answer = gateways_[static_cast<std::size_t>(to)].machine->Full(fleet::Kind::kExchangeReply);
+      GossipMessage answer =
+          gateways_[static_cast<std::size_t>(to)].machine->FullState(fleet::MessageKind::kExchangeReply);
       if (mutant_ != Mutant::kNone) Mutate(to, answer);
-      WithMachine(
-          to, [&](Machine& machine, fleet::Time now, Out& out) { machine.OnMessage(now, question, out); });
+      WithMachine(to, [&](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
+        machine.OnMessage(now, question, out);
+      });
       if (stage_.link(to, from).cut) return;
       At(now_ + standin::Uniform(random_, kWayLeast_s, kWayMost_s) + back.delay_s,
          [this, from, life, answer] {
            Run(from, [this, from, life, answer] {
              if (gateways_[static_cast<std::size_t>(from)].life != life) return;
-             WithMachine(from, [&](Machine& machine, fleet::Time now, Out& out) {
+             WithMachine(from, [&](MembershipProtocol& machine, fleet::Time now, ProtocolOutput& out) {
                machine.OnMessage(now, answer, out);
              });
            });
--- a/src/fleetkit/virtual_fleet.hpp
+++ b/src/fleetkit/virtual_fleet.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "duty/machine.hpp"
-#include "fleet/machine.hpp"
+#include "duty/duty_manager.hpp"
+#include "fleet/membership_protocol.hpp"
 #include "fleetkit/stage.hpp"
 #include "standin/ledger.hpp"
 
@@ -48,10 +48,10 @@
 
  private:
   struct Gateway {
-    std::unique_ptr<fleet::Machine> machine;
-    std::unique_ptr<duty::Machine> duties;  // where the scenario has them
-    std::uint64_t told_view = 0;            // version of the view that they know
-    std::uint64_t lowest_token = 0;         // of kLowestName, while it holds
+    std::unique_ptr<fleet::MembershipProtocol> machine;
+    std::unique_ptr<duty::DutyManager> duties;  // where the scenario has them
+    std::uint64_t told_view = 0;                // version of the view that they know
+    std::uint64_t lowest_token = 0;             // of kLowestName, while it holds
     bool ledger_held = false;
     std::deque<standin::Ledger::Call> on_the_way;
     int life = 0;
@@ -80,25 +80,27 @@
   void SetVoters(const std::vector<int>& voters, const std::vector<int>& before) override;
 
   void StartDuties(int process);
-  void CarryDuties(int process, duty::Out out);
-  void TellDuties(int process, const fleet::Out& out);
+  void CarryDuties(int process, duty::DutyOutput out);
+  void TellDuties(int process, const fleet::ProtocolOutput& out);
   void Act(int process, int life);
   void Append(const standin::Ledger::Call& call);
-  duty::Options DutyOptionsOf(int process) const;
+  duty::DutyOptions DutyOptionsOf(int process) const;
   double TrueTime(const Gateway& gateway, fleet::Time local) const;
 
   fleet::Time Local(const Gateway& gateway) const;
   void At(double at, std::function<void()> what);
-  void WithMachine(int process, const std::function<void(fleet::Machine&, fleet::Time, fleet::Out&)>& call);
-  void Carry(int process, fleet::Out out);
-  void Mutate(int process, fleet::Message& message) const;
-  void SendDatagram(int from, const fleet::Sending& sending);
-  void SendExchange(int from, const fleet::Sending& sending);
+  void WithMachine(
+      int process,
+      const std::function<void(fleet::MembershipProtocol&, fleet::Time, fleet::ProtocolOutput&)>& call);
+  void Carry(int process, fleet::ProtocolOutput out);
+  void Mutate(int process, fleet::GossipMessage& message) const;
+  void SendDatagram(int from, const fleet::OutgoingMessage& sending);
+  void SendExchange(int from, const fleet::OutgoingMessage& sending);
   void Deliver(int to, std::string bytes);
   void Run(int process, std::function<void()> what);
   void Arm(int process);
   void Look();
-  fleet::Options OptionsOf(int process) const;
+  fleet::MembershipOptions OptionsOf(int process) const;
   static Address AddressOf(int process);
   static int ProcessAt(const Address& address);
   void Mix(std::uint64_t value) { hash_ = (hash_ ^ value) * 0x9e3779b97f4a7c15ull; }
--- a/src/net/fleet_link.cpp
+++ b/src/net/fleet_link.cpp
@@ -77,7 +77,7 @@
 }
 
 void FleetLink::ReadDatagrams() {
-  std::array<char, fleet::kMostDatagram + 1> bytes;  // one byte more shows one that is too long
+  std::array<char, fleet::kMaxDatagramBytes + 1> bytes;  // one byte more shows one that is too long
   for (int i = 0; i < kDatagramsAtOnce && open(); ++i) {
     const ssize_t size = ::recv(udp_, bytes.data(), bytes.size(), MSG_DONTWAIT);
     if (size < 0) return;
@@ -176,7 +176,7 @@
   if (in.size() < kFrameHead) return;
   std::uint32_t length = 0;
   std::memcpy(&length, in.data(), sizeof length);
-  if (length > fleet::kMostExchange) return link.End(*this, {});
+  if (length > fleet::kMaxExchangeBytes) return link.End(*this, {});
   if (in.size() < kFrameHead + length) return;
   const std::string_view message = std::string_view(in).substr(kFrameHead, length);
   if (asker) return link.End(*this, message);
--- a/src/service_registry/codec.hpp
+++ b/src/service_registry/codec.hpp
@@ -1,4 +1,4 @@
-// A batch of entries as bytes (msgpack), for the link. Pure.
+// Encodes batches of host entries with msgpack, for messages between gateways and for storage. Pure.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,15 @@
 
 namespace curlewdoor::service_registry {
 
-inline constexpr std::size_t kMostBatch = 8 * 1024 * 1024;  // bytes; kMostEntries of the longest fit in
+// Holds kMaxEntries entries of the maximum size.
+inline constexpr std::size_t kMaxBatchBytes = 8 * 1024 * 1024;
 
-// Times pass as spans: milliseconds until warm, and since it fell silent or went. `heard` isn't passed.
-// At most kMostEntries are written.
-std::string Encode(const std::vector<Entry>& entries, Time now);
+// Times are encoded as durations in milliseconds: until the end of the warm-up, and since the host became
+// unresponsive or was removed. `last_heard` is not encoded. Writes at most kMaxEntries entries.
+std::string Encode(const std::vector<HostEntry>& entries, Time now);
 
-// Never throws: nullopt if the bytes are cut, too long, foreign, or hold an entry beyond a bound.
-std::optional<std::vector<Entry>> Decode(std::string_view bytes, Time now);
+// Never throws. Returns nullopt if the bytes are truncated, too long, malformed or contain an entry that
+// exceeds a bound.
+std::optional<std::vector<HostEntry>> Decode(std::string_view bytes, Time now);
 
 }  // namespace curlewdoor::service_registry
--- a/src/service_registry/heartbeat_targets.cpp
+++ b/src/service_registry/heartbeat_targets.cpp
@@ -10,14 +10,14 @@
     by_zone_[gateway.zone].push_back({gateway.name, StableHash(gateway.name), gateway.address});
 }
 
-std::optional<std::string_view> HeartbeatTargets::For(std::string_view host, std::string_view zone,
-                                                      std::string_view without) const {
+std::optional<std::string_view> HeartbeatTargets::TargetFor(std::string_view host, std::string_view zone,
+                                                            std::string_view excluded) const {
   const auto targets = by_zone_.find(zone);
   if (targets == by_zone_.end()) return std::nullopt;
   const Target* best = nullptr;
   std::uint64_t best_hash = 0;
   for (const Target& target : targets->second) {
-    if (target.name == without) continue;
+    if (target.name == excluded) continue;
     const std::uint64_t hash = StableHash(host, target.seed);
     if (best != nullptr && hash <= best_hash) continue;
     best = &target;
--- a/src/service_registry/heartbeat_targets.hpp
+++ b/src/service_registry/heartbeat_targets.hpp
@@ -1,6 +1,6 @@
-// Where hosts send their heartbeats: each to one gateway of its own zone, chosen by rendezvous hashing. Hosts
-// spread evenly over a zone's gateways, also behind a restart of all; a gateway that comes takes its share,
-// one that goes hands on its own, and no other host moves. Pure: the gateways that are there go in.
+// Selects the gateway that receives the heartbeats of a host, by rendezvous hashing among the gateways of the
+// host's zone. Hosts spread evenly over the gateways of a zone, also after a restart of all of them. A new
+// gateway takes its share, the hosts of a removed gateway move to others, and no other host moves. Pure.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
   struct Gateway {
     std::string name;
     std::string zone;
-    std::string address;  // of its control door, "ip:port"
+    std::string address;  // "ip:port" of its control server
   };
 
-  // All that are there now; replaces those before.
+  // Replaces the set of available gateways.
   void SetGateways(const std::vector<Gateway>& gateways);
-  // The address for this host; `without`: the name of a gateway that isn't to be it. nullopt: its zone has
-  // none.
-  std::optional<std::string_view> For(std::string_view host, std::string_view zone,
-                                      std::string_view without = {}) const;
+  // The heartbeat address for this host, or nullopt if its zone has no gateway. `excluded`: name of a gateway
+  // that must not be chosen.
+  std::optional<std::string_view> TargetFor(std::string_view host, std::string_view zone,
+                                            std::string_view excluded = {}) const;
 
  private:
   struct Target {
     std::string name;
-    std::uint64_t seed = 0;  // of the hash of hosts
+    std::uint64_t seed = 0;  // for hashing host ids
     std::string address;
   };
   std::map<std::string, std::vector<Target>, std::less<>> by_zone_;
--- a/src/service_registry/journal.hpp
+++ b/src/service_registry/journal.hpp
@@ -1,4 +1,4 @@
-// The last events, by number, for views that are folded from them. In memory, bounded.
+// Bounded in-memory log of the latest events, numbered consecutively, for views that are derived from them.
 #pragma once
 
 #include <cstddef>
@@ -12,11 +12,11 @@
 template <class Event>
 class Journal {
  public:
-  // A run of events, oldest first.
-  class Events {
+  // A range of consecutive events, oldest first.
+  class EventRange {
    public:
     using Iterator = typename std::deque<Event>::const_iterator;
-    Events(Iterator begin, Iterator end) : begin_(begin), end_(end) {}
+    EventRange(Iterator begin, Iterator end) : begin_(begin), end_(end) {}
     Iterator begin() const { return begin_; }
     Iterator end() const { return end_; }
     bool empty() const { return begin_ == end_; }
@@ -27,28 +27,28 @@
     Iterator begin_, end_;
   };
 
-  // `most`: events kept, 1 at least.
-  explicit Journal(std::size_t most) : most_(most) {}
+  // `capacity`: number of events kept, at least 1.
+  explicit Journal(std::size_t capacity) : capacity_(capacity) {}
 
-  // Its number: 1 for the first, each next one is one higher.
+  // Returns the number of the event: 1 for the first, then consecutive.
   std::uint64_t Append(Event event) {
     events_.push_back(std::move(event));
-    if (events_.size() > most_) events_.pop_front();
+    if (events_.size() > capacity_) events_.pop_front();
     return ++last_;
   }
 
-  // Of the newest event; 0 if there was none.
+  // Number of the newest event; 0 if there is none.
   std::uint64_t last() const { return last_; }
 
-  // Those after `number`, oldest first, valid until the next Append. nullopt: some are gone, or `number` is
-  // none of this journal's; the view is then to be folded from a snapshot.
-  std::optional<Events> Since(std::uint64_t number) const {
+  // Events after `number`, oldest first, valid until the next Append(). Returns nullopt if some of them have
+  // been discarded or `number` is not from this journal; the view must then be rebuilt from a snapshot.
+  std::optional<EventRange> Since(std::uint64_t number) const {
     if (number > last_ || last_ - number > events_.size()) return std::nullopt;
-    return Events(events_.end() - static_cast<std::ptrdiff_t>(last_ - number), events_.end());
+    return EventRange(events_.end() - static_cast<std::ptrdiff_t>(last_ - number), events_.end());
   }
 
  private:
-  std::size_t most_;
+  std::size_t capacity_;
   std::uint64_t last_ = 0;
   std::deque<Event> events_;
 };
--- a/src/service_registry/json_body.hpp
+++ b/src/service_registry/json_body.hpp
@@ -1,5 +1,5 @@
-// The JSON body of a call, read by cJSON: fields are checked as they are taken, and each error names its
-// field by its path.
+// Reads the JSON body of a call with cJSON. Fields are validated when they are read, and each error names the
+// path of its field.
 #pragma once
 
 #include <cjson/cJSON.h>
@@ -15,41 +15,43 @@
 namespace curlewdoor::service_registry {
 
 // Throws CallError with status 400.
-[[noreturn]] void BadCall(const std::string& text);
+[[noreturn]] void ThrowBadRequest(const std::string& text);
 
-// An object's fields. Each throws CallError for what is missing or out of its bounds.
+// The fields of an object. Every accessor throws CallError if the field is missing or out of bounds.
 class JsonFields {
  public:
-  // `prefix`: of the paths that errors name.
+  // `prefix`: of the paths in error messages.
   JsonFields(const cJSON* object, std::string prefix) : object_(object), prefix_(std::move(prefix)) {}
 
   JsonFields Object(const char* name) const;
-  // Empty if it is missing and not `needed`. `most`: bytes. No control characters.
-  std::string Text(const char* name, bool needed, std::size_t most = kMostName) const;
-  // `absent` if it is missing, unless that is negative: then it is needed. Finite and not negative.
-  double Number(const char* name, double absent) const;
-  double Whole(const char* name, double absent, double most) const;
+  // Returns an empty string if the field is missing and not `required`. `max`: length in bytes. Rejects
+  // control characters.
+  std::string Text(const char* name, bool required, std::size_t max = kMaxNameBytes) const;
+  // Returns `default_value` if the field is missing; a negative default makes it required. The number must be
+  // finite and not negative.
+  double Number(const char* name, double default_value) const;
+  double Integer(const char* name, double default_value, double max) const;
   bool Has(const char* name) const { return Get(name, false) != nullptr; }
   std::string Path(const char* name) const { return prefix_ + name; }
 
  private:
-  const cJSON* Get(const char* name, bool needed) const;
+  const cJSON* Get(const char* name, bool required) const;
 
   const cJSON* object_;
   std::string prefix_;
 };
 
-// One object, not nested deeper than kMostDepth. Throws CallError for bytes that are none.
+// A single object, nested at most kMaxJsonDepth levels deep. Throws CallError if the bytes are anything else.
 class JsonBody {
  public:
   explicit JsonBody(std::string_view body);
   JsonFields fields() const { return JsonFields(json_.get(), ""); }
 
  private:
-  struct Free {
+  struct CJsonDeleter {
     void operator()(cJSON* json) const { cJSON_Delete(json); }
   };
-  std::unique_ptr<cJSON, Free> json_;
+  std::unique_ptr<cJSON, CJsonDeleter> json_;
 };
 
 }  // namespace curlewdoor::service_registry
--- a/src/service_registry/package.cmake
+++ b/src/service_registry/package.cmake
@@ -1,5 +1,5 @@
-# Which hosts there are: calls as commands, entries folded from them. Pure.
-add_library(curlewdoor_service_registry STATIC src/service_registry/by_service.cpp src/service_registry/codec.cpp
+# Registry of backend hosts: API calls decoded into commands, and entries merged from them. Pure.
+add_library(curlewdoor_service_registry STATIC src/service_registry/hosts_by_service.cpp src/service_registry/codec.cpp
                                         src/service_registry/command.cpp src/service_registry/service_registry.cpp
                                         src/service_registry/heartbeat_targets.cpp src/service_registry/json_body.cpp)
 target_include_directories(curlewdoor_service_registry PUBLIC src)
--- a/src/service_registry/service_registry.cpp
+++ b/src/service_registry/service_registry.cpp
@@ -6,271 +6,283 @@
 namespace curlewdoor::service_registry {
 namespace {
 
-auto Said(const Entry& entry) {
-  return std::tie(entry.said_at, entry.draining, entry.service, entry.address, entry.zone, entry.slots);
+auto Details(const HostEntry& entry) {
+  return std::tie(entry.details_sequence, entry.draining, entry.service, entry.address, entry.zone,
+                  entry.slots);
 }
 
-// Here, silent, gone: the worse is the larger.
-int Absence(const Entry& entry) { return entry.gone() ? 2 : entry.silent ? 1 : 0; }
+// Present (0), unresponsive (1), removed (2).
+int AbsenceLevel(const HostEntry& entry) { return entry.removed() ? 2 : entry.unresponsive ? 1 : 0; }
 
-void SetAbsence(Entry& entry, int absence) {
-  entry.silent = absence == 1 && !entry.left;
-  entry.state = entry.left || absence == 2 ? HostState::kGone
-                : entry.draining           ? HostState::kDraining
-                                           : HostState::kReady;
+void SetAbsenceLevel(HostEntry& entry, int absence_level) {
+  entry.unresponsive = absence_level == 1 && !entry.deregistered;
+  entry.state = entry.deregistered || absence_level == 2 ? HostState::kRemoved
+                : entry.draining                         ? HostState::kDraining
+                                                         : HostState::kReady;
 }
 
-bool Differs(const Entry& a, const Entry& b) {
-  if (a.gone() && b.gone()) return a.left != b.left;  // where it was no longer matters
-  return std::tie(a.state, a.left, a.silent, a.service, a.address, a.zone, a.slots) !=
-         std::tie(b.state, b.left, b.silent, b.service, b.address, b.zone, b.slots);
+bool Differs(const HostEntry& a, const HostEntry& b) {
+  if (a.removed() && b.removed())
+    return a.deregistered != b.deregistered;  // details of a removed host are irrelevant
+  return std::tie(a.state, a.deregistered, a.unresponsive, a.service, a.address, a.zone, a.slots) !=
+         std::tie(b.state, b.deregistered, b.unresponsive, b.service, b.address, b.zone, b.slots);
 }
 
-// `known` joined with `told`; the larger of each part.
-Entry Join(Time now, const Entry& known, const Entry& told) {
-  Entry next = known;
-  if (Said(told) > Said(known)) {
-    next.said_at = told.said_at;
-    next.draining = told.draining;
-    next.service = told.service;
-    next.address = told.address;
-    next.zone = told.zone;
-    next.slots = told.slots;
-    next.warm_at = told.warm_at;
+// Merges `reported` into `known`, taking the greater value of each part.
+HostEntry MergeEntries(Time now, const HostEntry& known, const HostEntry& reported) {
+  HostEntry next = known;
+  if (Details(reported) > Details(known)) {
+    next.details_sequence = reported.details_sequence;
+    next.draining = reported.draining;
+    next.service = reported.service;
+    next.address = reported.address;
+    next.zone = reported.zone;
+    next.slots = reported.slots;
+    next.warm_at = reported.warm_at;
   }
-  int absence = Absence(known);
-  if (told.sequence > known.sequence) {
-    next.sequence = told.sequence;
-    next.heard = now;
-    absence = Absence(told);
-  } else if (told.sequence == known.sequence) {
-    absence = std::max(absence, Absence(told));
+  int absence_level = AbsenceLevel(known);
+  if (reported.sequence > known.sequence) {
+    next.sequence = reported.sequence;
+    next.last_heard = now;
+    absence_level = AbsenceLevel(reported);
+  } else if (reported.sequence == known.sequence) {
+    absence_level = std::max(absence_level, AbsenceLevel(reported));
   }
-  next.left = known.left || told.left;
-  next.stamp = std::max(known.stamp, told.stamp);
-  next.leave_watermark = next.leaves() ? std::max(known.leave_watermark, told.leave_watermark) : 0;
-  if (next.leaves() && !known.leaves()) next.leaving_since = now;
-  SetAbsence(next, absence);
-  if (next.gone() != known.gone() || next.silent != known.silent) next.since = now;
+  next.deregistered = known.deregistered || reported.deregistered;
+  next.stamp = std::max(known.stamp, reported.stamp);
+  next.departure_watermark =
+      next.departing() ? std::max(known.departure_watermark, reported.departure_watermark) : 0;
+  if (next.departing() && !known.departing()) next.departing_since = now;
+  SetAbsenceLevel(next, absence_level);
+  if (next.removed() != known.removed() || next.unresponsive != known.unresponsive)
+    next.unavailable_since = now;
   return next;
 }
 
 }  // namespace
 
-bool Directory::Apply(Time now, const Beat& beat) {
-  Entry told;
-  told.id = beat.id;
-  told.service = beat.service;
-  told.address = beat.address;
-  told.zone = beat.zone;
-  told.slots = beat.slots;
-  told.draining = beat.draining;
-  told.sequence = told.said_at = beat.sequence;
-  told.warm_at = now + beat.warmup_left;
-  return Take(now, std::move(told));
+bool ServiceRegistry::Apply(Time now, const Heartbeat& heartbeat) {
+  HostEntry reported;
+  reported.id = heartbeat.id;
+  reported.service = heartbeat.service;
+  reported.address = heartbeat.address;
+  reported.zone = heartbeat.zone;
+  reported.slots = heartbeat.slots;
+  reported.draining = heartbeat.draining;
+  reported.sequence = reported.details_sequence = heartbeat.sequence;
+  reported.warm_at = now + heartbeat.warmup_left;
+  return MergeReport(now, std::move(reported));
 }
 
-bool Directory::Apply(Time now, const Leave& leave) {
-  Entry told;
-  told.id = leave.id;
-  told.left = true;
-  told.since = now;
-  return Take(now, std::move(told));
+bool ServiceRegistry::Apply(Time now, const Deregistration& deregistration) {
+  HostEntry reported;
+  reported.id = deregistration.id;
+  reported.deregistered = true;
+  reported.unavailable_since = now;
+  return MergeReport(now, std::move(reported));
 }
 
-bool Directory::Merge(Time now, const Entry& told) {
-  // Others may still list what has been forgotten here: it must not come round for ever.
-  const bool long_gone = told.gone() && !told.leaves() && now - told.since >= kKeepGone;
-  const bool too_old = told.stamp != 0 && TooOld(told, told.stamp);
-  if (!Find(told.id) && (long_gone || too_old || Forgettable(told))) return false;
-  return Take(now, told);
+bool ServiceRegistry::Merge(Time now, const HostEntry& reported) {
+  // Other gateways may still list a host that was purged here; without this check it would circulate for
+  // ever.
+  const bool removed_long_ago =
+      reported.removed() && !reported.departing() && now - reported.unavailable_since >= kRemovedRetention;
+  const bool stale = reported.stamp != 0 && IsStale(reported, reported.stamp);
+  if (!Find(reported.id) && (removed_long_ago || stale || CanPurge(reported))) return false;
+  return MergeReport(now, reported);
 }
 
-// A claim that a life is here, from before what may have been forgotten since.
-bool Directory::TooOld(const Entry& entry, std::uint64_t stamp) const {
-  if (fault_ == Fault::kTakesOldClaims) return false;
-  return !entry.leaves() && stamp + kValidPeriods < watermark_;
+// True for a claim that a host is present if it is so old that a later departure may have been purged.
+bool ServiceRegistry::IsStale(const HostEntry& entry, std::uint64_t stamp) const {
+  if (injected_fault_ == InjectedFault::kAcceptsStaleClaims) return false;
+  return !entry.departing() && stamp + kClaimValidPeriods < watermark_;
 }
 
-bool Directory::Forgettable(const Entry& entry) const {
-  return entry.leaves() && entry.leave_watermark != 0 && entry.leave_watermark + kForgetPeriods <= watermark_;
+bool ServiceRegistry::CanPurge(const HostEntry& entry) const {
+  return entry.departing() && entry.departure_watermark != 0 &&
+         entry.departure_watermark + kDeparturePurgePeriods <= watermark_;
 }
 
-bool Directory::Take(Time now, Entry told) {
-  if (told.id.empty()) return false;
-  if (told.stamp == 0) told.stamp = watermark_;
-  SetAbsence(told, Absence(told));
-  const auto place = entries_.find(told.id);
-  if (place == entries_.end()) {
-    if (!MakeRoom(told)) return false;
-    told.heard = told.leaving_since = now;
-    if (!told.gone() && !told.silent) told.since = now;
-    if (told.since > now) told.since = now;
-    entries_.insert(told);
-    journal_.Append({Event::Kind::kNew, told});
-    Settle(now, told.id);
+bool ServiceRegistry::MergeReport(Time now, HostEntry reported) {
+  if (reported.id.empty()) return false;
+  if (reported.stamp == 0) reported.stamp = watermark_;
+  SetAbsenceLevel(reported, AbsenceLevel(reported));
+  const auto position = entries_.find(reported.id);
+  if (position == entries_.end()) {
+    if (!MakeRoom(reported)) return false;
+    reported.last_heard = reported.departing_since = now;
+    if (!reported.removed() && !reported.unresponsive) reported.unavailable_since = now;
+    if (reported.unavailable_since > now) reported.unavailable_since = now;
+    entries_.insert(reported);
+    journal_.Append({HostEvent::Kind::kAdded, reported});
+    ResolveAddressConflict(now, reported.id);
     return true;
   }
-  Entry next = Join(now, *place, told);
-  const bool changed = Differs(*place, next);
-  const bool came = !next.gone() && (place->gone() || place->address != next.address);
-  Put(place, std::move(next), changed);
-  if (came) Settle(now, told.id);
+  HostEntry next = MergeEntries(now, *position, reported);
+  const bool changed = Differs(*position, next);
+  const bool appeared = !next.removed() && (position->removed() || position->address != next.address);
+  Replace(position, std::move(next), changed);
+  if (appeared) ResolveAddressConflict(now, reported.id);
   return changed;
 }
 
-Directory::Refreshed Directory::Refresh(Time now, const std::string& id, std::uint64_t sequence) {
-  const auto place = entries_.find(id);
-  if (place == entries_.end()) return Refreshed::kUnknown;
-  if (sequence <= place->sequence || sequence > kMostSequence) return Refreshed::kSame;
-  // `said_at` stays: a draining beat between the two may still be on its way here.
-  Entry next = *place;
+ServiceRegistry::RefreshResult ServiceRegistry::Refresh(Time now, const std::string& id,
+                                                        std::uint64_t sequence) {
+  const auto position = entries_.find(id);
+  if (position == entries_.end()) return RefreshResult::kUnknown;
+  if (sequence <= position->sequence || sequence > kMaxSequence) return RefreshResult::kUnchanged;
+  // Keeps `details_sequence`: a draining heartbeat between the two sequences may still be on its way.
+  HostEntry next = *position;
   next.sequence = sequence;
-  next.heard = now;
-  SetAbsence(next, 0);
-  const bool changed = Differs(*place, next);
-  const bool came = place->gone() && !next.gone();
-  if (changed) next.since = now;
-  Put(place, std::move(next), changed);
-  if (came) Settle(now, id);
-  return changed ? Refreshed::kChanged : Refreshed::kSame;
+  next.last_heard = now;
+  SetAbsenceLevel(next, 0);
+  const bool changed = Differs(*position, next);
+  const bool appeared = position->removed() && !next.removed();
+  if (changed) next.unavailable_since = now;
+  Replace(position, std::move(next), changed);
+  if (appeared) ResolveAddressConflict(now, id);
+  return changed ? RefreshResult::kChanged : RefreshResult::kUnchanged;
 }
 
-std::vector<Entry> Directory::Silence(Time now, Duration after) {
-  std::vector<Entry> fallen;
-  for (const Entry& entry : entries_) {
-    if (entry.gone() || entry.silent || now - entry.heard < after) continue;
-    fallen.push_back(entry);
+std::vector<HostEntry> ServiceRegistry::MarkUnresponsive(Time now, Duration after) {
+  std::vector<HostEntry> newly_unresponsive;
+  for (const HostEntry& entry : entries_) {
+    if (entry.removed() || entry.unresponsive || now - entry.last_heard < after) continue;
+    newly_unresponsive.push_back(entry);
   }
-  for (Entry& entry : fallen) {
-    entry.silent = true;
-    entry.since = now;
-    Put(entries_.find(entry.id), entry, true);
+  for (HostEntry& entry : newly_unresponsive) {
+    entry.unresponsive = true;
+    entry.unavailable_since = now;
+    Replace(entries_.find(entry.id), entry, true);
   }
-  return fallen;
+  return newly_unresponsive;
 }
 
-void Directory::Raise(std::uint64_t watermark) {
+void ServiceRegistry::RaiseWatermark(std::uint64_t watermark) {
   if (watermark <= watermark_) return;
   watermark_ = watermark;
-  for (auto place = entries_.begin(); place != entries_.end();) {
-    const auto each = place++;
-    if (TooOld(*each, std::max(each->stamp, confirmed_))) Drop(each);
+  for (auto position = entries_.begin(); position != entries_.end();) {
+    const auto each = position++;
+    if (IsStale(*each, std::max(each->stamp, confirmed_))) Erase(each);
   }
 }
 
-void Directory::ConfirmHosts(std::uint64_t watermark) {
+void ServiceRegistry::ConfirmHosts(std::uint64_t watermark) {
   confirmed_ = std::max(confirmed_, std::min(watermark, watermark_));
 }
 
-void Directory::ConfirmLeaves(Time proved) {
-  auto& order = entries_.get<DropTag>();
-  for (auto place = order.lower_bound(std::pair{Entry::kLeavingRank, Time::min()}); place != order.end();) {
-    const auto each = place++;
-    if (each->leaving_since + kMostCallDelay > proved) break;  // and so all that follow
-    if (each->leave_watermark != 0) continue;
-    Entry next = *each;
-    next.leave_watermark = watermark_;
-    Put(entries_.project<0>(each), std::move(next), false);
+void ServiceRegistry::ConfirmDepartures(Time confirmed_at) {
+  auto& order = entries_.get<EvictionTag>();
+  for (auto position = order.lower_bound(std::pair{HostEntry::kDepartingRank, Time::min()});
+       position != order.end();) {
+    const auto each = position++;
+    if (each->departing_since + kMaxCallDelay > confirmed_at) break;  // all following entries are later
+    if (each->departure_watermark != 0) continue;
+    HostEntry next = *each;
+    next.departure_watermark = watermark_;
+    Replace(entries_.project<0>(each), std::move(next), false);
   }
 }
 
-void Directory::Drop(Place place) {
-  journal_.Append({Event::Kind::kForgotten, *place});
-  entries_.erase(place);
+void ServiceRegistry::Erase(Position position) {
+  journal_.Append({HostEvent::Kind::kPurged, *position});
+  entries_.erase(position);
 }
 
-void Directory::SetGone(Time now, Place place) {
-  Entry next = *place;
-  SetAbsence(next, 2);
-  next.since = now;
-  Put(place, std::move(next), true);
+void ServiceRegistry::MarkRemoved(Time now, Position position) {
+  HostEntry next = *position;
+  SetAbsenceLevel(next, 2);
+  next.unavailable_since = now;
+  Replace(position, std::move(next), true);
 }
 
-// Silent ones that leave are gone in the end like others.
-void Directory::ForgetLeaves(Time now) {
-  auto& order = entries_.get<DropTag>();
-  for (auto place = order.lower_bound(std::pair{Entry::kLeavingRank, Time::min()}); place != order.end();) {
-    const auto each = place++;
-    if (each->gone()) {
-      const bool too_soon = fault_ == Fault::kForgetsLeaves && now - each->since >= kKeepGone;
-      if (Forgettable(*each) || too_soon) Drop(entries_.project<0>(each));
-    } else if (each->silent && now - each->since >= kKeepSilent) {
-      SetGone(now, entries_.project<0>(each));
+// Departing hosts that stay unresponsive are removed like any other.
+void ServiceRegistry::PurgeDepartures(Time now) {
+  auto& order = entries_.get<EvictionTag>();
+  for (auto position = order.lower_bound(std::pair{HostEntry::kDepartingRank, Time::min()});
+       position != order.end();) {
+    const auto each = position++;
+    if (each->removed()) {
+      const bool purged_early = injected_fault_ == InjectedFault::kPurgesDeparturesEarly &&
+                                now - each->unavailable_since >= kRemovedRetention;
+      if (CanPurge(*each) || purged_early) Erase(entries_.project<0>(each));
+    } else if (each->unresponsive && now - each->unavailable_since >= kUnresponsiveRetention) {
+      MarkRemoved(now, entries_.project<0>(each));
     }
   }
 }
 
-void Directory::Forget(Time now) {
-  ForgetLeaves(now);
-  auto& order = entries_.get<DropTag>();
-  while (!order.empty() && order.begin()->drop_order().first == Entry::kGoneRank &&
-         now - order.begin()->since >= kKeepGone) {
-    Drop(entries_.project<0>(order.begin()));
+void ServiceRegistry::PurgeExpired(Time now) {
+  PurgeDepartures(now);
+  auto& order = entries_.get<EvictionTag>();
+  while (!order.empty() && order.begin()->eviction_order().first == HostEntry::kRemovedRank &&
+         now - order.begin()->unavailable_since >= kRemovedRetention) {
+    Erase(entries_.project<0>(order.begin()));
   }
   for (;;) {
-    const auto oldest = order.lower_bound(std::pair{Entry::kSilentRank, Time::min()});
-    if (oldest == order.end() || oldest->drop_order().first != Entry::kSilentRank ||
-        now - oldest->since < kKeepSilent)
+    const auto oldest = order.lower_bound(std::pair{HostEntry::kUnresponsiveRank, Time::min()});
+    if (oldest == order.end() || oldest->eviction_order().first != HostEntry::kUnresponsiveRank ||
+        now - oldest->unavailable_since < kUnresponsiveRetention)
       break;
-    SetGone(now, entries_.project<0>(oldest));
+    MarkRemoved(now, entries_.project<0>(oldest));
   }
 }
 
-const Entry* Directory::Find(const std::string& id) const {
-  const auto place = entries_.find(id);
-  return place == entries_.end() ? nullptr : &*place;
+const HostEntry* ServiceRegistry::Find(const std::string& id) const {
+  const auto position = entries_.find(id);
+  return position == entries_.end() ? nullptr : &*position;
 }
 
-const Entry* Directory::At(const std::string& address) const {
+const HostEntry* ServiceRegistry::FindByAddress(const std::string& address) const {
   auto [it, end] = entries_.get<AddressTag>().equal_range(address);
   for (; it != end; ++it) {
-    if (!it->gone()) return &*it;
+    if (!it->removed()) return &*it;
   }
   return nullptr;
 }
 
-std::vector<Entry> Directory::All() const {
-  std::vector<Entry> all{entries_.begin(), entries_.end()};
-  for (Entry& entry : all) entry.stamp = std::max(entry.stamp, confirmed_);
+std::vector<HostEntry> ServiceRegistry::All() const {
+  std::vector<HostEntry> all{entries_.begin(), entries_.end()};
+  for (HostEntry& entry : all) entry.stamp = std::max(entry.stamp, confirmed_);
   return all;
 }
 
-// Ready ones push out gone and silent ones; gone and silent ones push out only gone ones. Nobody pushes out
-// one that leaves: a claim that it is here would bring it back.
-bool Directory::MakeRoom(const Entry& incoming) {
-  if (entries_.size() < kMostEntries) return true;
-  auto& order = entries_.get<DropTag>();
+// Ready hosts evict removed and unresponsive ones; removed and unresponsive hosts evict only removed ones.
+// Departing hosts are never evicted, because a stale claim that they are present would bring them back.
+bool ServiceRegistry::MakeRoom(const HostEntry& incoming) {
+  if (entries_.size() < kMaxEntries) return true;
+  auto& order = entries_.get<EvictionTag>();
   const auto first = order.begin();
-  const Entry::DropRank rank = first->drop_order().first;
-  const bool ready = !incoming.gone() && !incoming.silent;
-  if (rank >= Entry::kHereRank || (rank == Entry::kSilentRank && !ready)) {
+  const HostEntry::EvictionRank rank = first->eviction_order().first;
+  const bool ready = !incoming.removed() && !incoming.unresponsive;
+  if (rank >= HostEntry::kPresentRank || (rank == HostEntry::kUnresponsiveRank && !ready)) {
     ++refused_;
     return false;
   }
-  Drop(entries_.project<0>(first));
+  Erase(entries_.project<0>(first));
   return true;
 }
 
-void Directory::Put(Place place, Entry next, bool changed) {
-  if (changed) journal_.Append({Event::Kind::kChanged, next});
-  entries_.replace(place, std::move(next));
+void ServiceRegistry::Replace(Position position, HostEntry next, bool changed) {
+  if (changed) journal_.Append({HostEvent::Kind::kChanged, next});
+  entries_.replace(position, std::move(next));
 }
 
-// One life at an address: `id` has come to its own just now. Who is silent gives way to who is not.
-void Directory::Settle(Time now, const std::string& id) {
-  const auto comer = entries_.find(id);
-  if (comer->gone() || comer->address.empty()) return;
+// Allows one host per address, after `id` appeared at its address: the other host is removed, or `id` itself
+// if it is unresponsive and the other is not.
+void ServiceRegistry::ResolveAddressConflict(Time now, const std::string& id) {
+  const auto newcomer = entries_.find(id);
+  if (newcomer->removed() || newcomer->address.empty()) return;
   std::vector<std::string> others;
   bool yields = false;
-  auto [it, end] = entries_.get<AddressTag>().equal_range(comer->address);
+  auto [it, end] = entries_.get<AddressTag>().equal_range(newcomer->address);
   for (; it != end; ++it) {
-    if (it->gone() || it->id == id) continue;
+    if (it->removed() || it->id == id) continue;
     others.push_back(it->id);
-    if (comer->silent && !it->silent) yields = true;
+    if (newcomer->unresponsive && !it->unresponsive) yields = true;
   }
   if (yields) others = {id};
-  for (const auto& other : others) SetGone(now, entries_.find(other));
+  for (const auto& other : others) MarkRemoved(now, entries_.find(other));
 }
 
 }  // namespace curlewdoor::service_registry
--- a/src/service_registry/service_registry.hpp
+++ b/src/service_registry/service_registry.hpp
@@ -1,20 +1,21 @@
-// Which hosts there are, merged from beats, from the hosts' last calls and from what other gateways tell.
-// Pure.
+// Registry of backend hosts, merged from heartbeats, deregistrations and the reports of other gateways. Pure.
 //
-// An entry is one life of a host, named by its id. What is known of a life is joined from three parts, each
-// of which only grows, so neither the order nor the repetition of what is heard matters:
-//   - what it said (service, address, zone, slots, draining), of the highest sequence; draining if equal;
-//   - whether it is here, silent, or gone without a word, of the highest sequence; the worse if equal;
-//   - whether it has left in words (deregistered), which is final.
-// The one thing that depends on the order is whose an address is: the life that came to it last here. The
-// other is gone; should it beat again, with a higher sequence, then the address is its own again.
+// An entry describes one incarnation of a host, identified by its id. It is merged from three parts, each of
+// which only grows, so that neither the order nor the repetition of reports matters:
+//   - the details that it reported (service, address, zone, slots, draining), from the highest sequence; if
+//     equal, draining wins;
+//   - whether it is present, unresponsive or removed without deregistration, from the highest sequence; if
+//     equal, the worse state wins;
+//   - whether it has deregistered, which is final.
+// Only the owner of an address depends on the order: it is the host that appeared there last, as seen by this
+// gateway. The other host is removed; a heartbeat of it with a higher sequence takes the address back.
 //
-// What is forgotten must not come back from a process that was stopped or cut off meanwhile. So each entry
-// bears a stamp: the registry's watermark (registry/watermark.hpp) when a beat of that life was read last, or
-// when a list with it was proved. An id that isn't known is taken only if its stamp is at most kValidPeriods
-// behind the watermark here, and an entry whose stamp falls further behind is dropped. A life that has said
-// that it leaves is kept until every claim of it is too old in that sense: docs/registry.md, "What is
-// forgotten".
+// A purged entry must not be brought back by a process that was stopped or cut off in the meantime. Each
+// entry therefore carries a stamp: the registry's watermark (registry/watermark.hpp) when a heartbeat of that
+// host was last received, or when a list with the entry was confirmed by a majority. An unknown id is
+// accepted only if its stamp is at most kClaimValidPeriods behind the local watermark, and an entry whose
+// stamp falls further behind is dropped. A departing host is kept until every claim that it is present is too
+// old in this sense; see docs/registry.md, "What is forgotten".
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
@@ -37,161 +38,175 @@
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-inline constexpr std::size_t kMostEntries = 16'384;   // gone ones included
-inline constexpr std::size_t kMostEvents = 4096;      // in the journal
-inline constexpr std::chrono::seconds kKeepGone{60};  // gone without a word
-inline constexpr std::chrono::seconds kKeepSilent{120};
-// Periods of the watermark: how far a stamp may be behind it, and how far the watermark must have gone beyond
-// a leave's before that is forgotten.
-inline constexpr std::uint64_t kValidPeriods = 6;
-inline constexpr std::uint64_t kForgetPeriods = kValidPeriods + 3;
-// A host's call is read so long after it was sent at most, or it isn't taken (system/pause_watch.hpp).
-inline constexpr std::chrono::seconds kMostCallDelay{15};
-
-enum class HostState : std::uint8_t { kReady, kDraining, kGone };
-
-struct Entry {
-  std::string id{}, service{}, address{}, zone{};  // all but id are empty if only its Leave was heard
+inline constexpr std::size_t kMaxEntries = 16'384;  // including removed hosts
+inline constexpr std::size_t kMaxJournalEvents = 4096;
+inline constexpr std::chrono::seconds kRemovedRetention{60};  // of hosts removed without deregistration
+inline constexpr std::chrono::seconds kUnresponsiveRetention{120};
+// In periods of the watermark: how far a stamp may be behind it, and how far it must be beyond the watermark
+// of a departure before that is purged.
+inline constexpr std::uint64_t kClaimValidPeriods = 6;
+inline constexpr std::uint64_t kDeparturePurgePeriods = kClaimValidPeriods + 3;
+// Longest time between sending and reading a call of a host; later calls are rejected
+// (system/pause_watch.hpp).
+inline constexpr std::chrono::seconds kMaxCallDelay{15};
+
+enum class HostState : std::uint8_t { kReady, kDraining, kRemoved };
+
+struct HostEntry {
+  // All except `id` are empty if only the deregistration was received.
+  std::string id{}, service{}, address{}, zone{};
   int slots = 1;
   HostState state = HostState::kReady;
-  bool draining = false;       // what it said last, also while it is kGone
-  bool left = false;           // deregistered: then kGone, for good
-  bool silent = false;         // at `sequence`; never set while kGone
-  std::uint64_t sequence = 0;  // the highest heard
-  std::uint64_t said_at = 0;   // of the beat that said service, address, zone, slots, draining; <= sequence
-  Time warm_at{};              // by this process's clock: when it is no longer slow from its start
-  Time heard{};                // here, when `sequence` rose last
-  Time since{};                // here, when it fell silent or went; else unused
-  std::uint64_t stamp = 0;     // the watermark when it was known to be here; 0: not told (earlier versions)
-  // Of a life that leaves: no claim that it is here bears a stamp more than one above this; 0: not known yet.
-  std::uint64_t leave_watermark = 0;
-  Time leaving_since{};  // here, when it was first known to leave; else unused
-
-  bool gone() const { return state == HostState::kGone; }
-  bool leaves() const { return draining || left; }  // it has said so, in either way
-  enum DropRank { kGoneRank, kSilentRank, kHereRank, kLeavingRank };
-  // Those that may be dropped for want of room come first: gone, silent; within one, the oldest. The rest
-  // stays.
-  std::pair<DropRank, Time> drop_order() const {
-    if (leaves()) return {kLeavingRank, leaving_since};
-    if (gone()) return {kGoneRank, since};
-    return silent ? std::pair{kSilentRank, since} : std::pair{kHereRank, Time{}};
+  bool draining = false;       // as last reported, also while kRemoved
+  bool deregistered = false;   // final; the state is then kRemoved
+  bool unresponsive = false;   // as of `sequence`; never set while kRemoved
+  std::uint64_t sequence = 0;  // highest one received
+  // Sequence of the heartbeat that reported service, address, zone, slots and draining; <= sequence.
+  std::uint64_t details_sequence = 0;
+  Time warm_at{};     // end of the warm-up, on the clock of this process
+  Time last_heard{};  // when `sequence` last increased here
+  // When it became unresponsive or was removed here; otherwise unused.
+  Time unavailable_since{};
+  // Watermark when the host was last known to be present; 0: not sent (earlier versions).
+  std::uint64_t stamp = 0;
+  // For a departing host: no claim that it is present carries a stamp more than one above this. 0: not known
+  // yet.
+  std::uint64_t departure_watermark = 0;
+  Time departing_since{};  // when the departure was first known here; otherwise unused
+
+  bool removed() const { return state == HostState::kRemoved; }
+  bool departing() const { return draining || deregistered; }  // it announced its departure
+  enum EvictionRank { kRemovedRank, kUnresponsiveRank, kPresentRank, kDepartingRank };
+  // Entries that may be evicted for lack of space come first: removed, then unresponsive ones, each oldest
+  // first. Others are not evicted.
+  std::pair<EvictionRank, Time> eviction_order() const {
+    if (departing()) return {kDepartingRank, departing_since};
+    if (removed()) return {kRemovedRank, unavailable_since};
+    return unresponsive ? std::pair{kUnresponsiveRank, unavailable_since} : std::pair{kPresentRank, Time{}};
   }
 };
 
-// Something that others must know, or (kForgotten) that it is no longer listed.
-struct Event {
-  enum class Kind : std::uint8_t { kNew, kChanged, kForgotten };
-  Kind kind = Kind::kNew;
-  Entry entry{};  // as it is after it; with kForgotten, as it was
+// A change that other gateways must learn about, or (kPurged) the removal of an entry from the registry.
+struct HostEvent {
+  enum class Kind : std::uint8_t { kAdded, kChanged, kPurged };
+  Kind kind = Kind::kAdded;
+  HostEntry entry{};  // state after the event; with kPurged, before it
 };
 
-class Directory {
+class ServiceRegistry {
  public:
-  // For tests of the tests: leaves are forgotten like those gone without a word, or claims are taken however
-  // old they are.
-  enum class Fault : std::uint8_t { kNone, kForgetsLeaves, kTakesOldClaims };
-  explicit Directory(Fault fault = Fault::kNone) : fault_(fault) {}
-
-  // Each of these tells whether something that others must know has changed: a new id, its state, service,
-  // address, zone or slots, or silence said or ended. What has changed stands in the journal, also a life
-  // whose address was taken over by that. False too if it was refused: full of hosts that are ready.
-  bool Apply(Time now, const Beat& beat);
-  bool Apply(Time now, const Leave& leave);
-  bool Merge(Time now, const Entry& told);
-
-  enum class Refreshed : std::uint8_t {
-    kUnknown,  // nothing known of that id here: the whole entry is wanted
-    kSame,
-    kChanged  // it was silent, or gone without a word
+  // Faults for tests of the checkers: departures are purged like other removals, or stale claims are
+  // accepted.
+  enum class InjectedFault : std::uint8_t { kNone, kPurgesDeparturesEarly, kAcceptsStaleClaims };
+  explicit ServiceRegistry(InjectedFault injected_fault = InjectedFault::kNone)
+      : injected_fault_(injected_fault) {}
+
+  // These return whether anything changed that other gateways must learn about: a new id, its state, service,
+  // address, zone or slots, or whether it is unresponsive. The journal records the changes, including the
+  // removal of a host that lost its address. They also return false if the entry was rejected because the
+  // registry is full of ready hosts.
+  bool Apply(Time now, const Heartbeat& heartbeat);
+  bool Apply(Time now, const Deregistration& deregistration);
+  bool Merge(Time now, const HostEntry& reported);
+
+  enum class RefreshResult : std::uint8_t {
+    kUnknown,  // unknown id: the full entry is needed
+    kUnchanged,
+    kChanged  // it was unresponsive, or removed without deregistration
   };
-  // A told beat that said what the teller knew already: only the time heard and the sequence go on.
-  Refreshed Refresh(Time now, const std::string& id, std::uint64_t sequence);
+  // Handles a forwarded heartbeat without new details: only the sequence and the time of the last heartbeat
+  // advance.
+  RefreshResult Refresh(Time now, const std::string& id, std::uint64_t sequence);
 
-  // Marks those not heard for `after` as silent, and returns them. Only while this process may judge.
-  std::vector<Entry> Silence(Time now, Duration after);
+  // Marks hosts without a heartbeat for `after` as unresponsive and returns them. To be called only while
+  // this process can judge that.
+  std::vector<HostEntry> MarkUnresponsive(Time now, Duration after);
 
-  // To be called now and then: silent for kKeepSilent is gone, gone for kKeepGone is forgotten, and a leave
-  // kForgetPeriods after its watermark.
-  void Forget(Time now);
+  // To be called periodically. Removes hosts that were unresponsive for kUnresponsiveRetention, purges hosts
+  // removed for kRemovedRetention, and purges departures kDeparturePurgePeriods after their watermark.
+  void PurgeExpired(Time now);
 
-  // The registry's watermark, which only rises. Entries whose stamps are too far behind it are dropped, but
-  // for those that leave.
-  void Raise(std::uint64_t watermark);
+  // Sets the watermark of the registry, which only rises. Entries with stamps too far behind it are dropped,
+  // except departing ones.
+  void RaiseWatermark(std::uint64_t watermark);
   std::uint64_t watermark() const { return watermark_; }
-  // A majority has proved the list as of `proved`, and the watermark here is no lower than theirs: the leaves
-  // that were known kMostCallDelay before get theirs.
-  void ConfirmLeaves(Time proved);
-  // A majority has proved the list as of a time when the watermark here was this: all that it says to be here
-  // is as good as a beat read then.
+  // A majority has confirmed the list as of `confirmed_at`, and the local watermark is not lower than theirs:
+  // departures known kMaxCallDelay earlier receive their watermark.
+  void ConfirmDepartures(Time confirmed_at);
+  // A majority has confirmed the list as of a time when the local watermark had this value: every host listed
+  // as present counts as if a heartbeat had been received then.
   void ConfirmHosts(std::uint64_t watermark);
-  // A leave that no claim can contradict any more, as each is too old.
-  bool Forgettable(const Entry& entry) const;
+  // Whether every claim that could contradict the departure is too old.
+  bool CanPurge(const HostEntry& entry) const;
 
-  // Calls f(const Entry&) for those of a service that are not gone, silent ones too. f changes nothing here.
+  // Calls f(const HostEntry&) for the hosts of a service that are not removed, including unresponsive ones. f
+  // must not change the registry.
   template <class F>
-  void ForEachOf(const std::string& service, F f) const {
+  void ForEachHostOf(const std::string& service, F f) const {
     const auto& index = entries_.template get<ServiceTag>();
     auto [it, end] = index.equal_range(service);
     for (; it != end; ++it) {
-      if (!it->gone()) f(*it);
+      if (!it->removed()) f(*it);
     }
   }
 
-  // Calls f(const Entry&) for all, gone ones included. f changes nothing here.
+  // Calls f(const HostEntry&) for all hosts, including removed ones. f must not change the registry.
   template <class F>
   void ForEach(F f) const {
-    for (const Entry& entry : entries_) f(entry);
+    for (const HostEntry& entry : entries_) f(entry);
   }
 
-  // nullptr if it isn't known. Valid until the next change.
-  const Entry* Find(const std::string& id) const;
-  // Who has this address now; nullptr if nobody.
-  const Entry* At(const std::string& address) const;
-  // All, gone ones included, with the stamps that others may go by: the snapshot that belongs to version().
-  std::vector<Entry> All() const;
+  // Returns nullptr for an unknown id. Valid until the next change.
+  const HostEntry* Find(const std::string& id) const;
+  // The host that owns this address; nullptr if there is none.
+  const HostEntry* FindByAddress(const std::string& address) const;
+  // All entries, including removed ones, with the stamps that other gateways may rely on: the snapshot for
+  // version().
+  std::vector<HostEntry> All() const;
   std::size_t size() const { return entries_.size(); }
-  std::uint64_t refused() const { return refused_; }  // new ids, because of kMostEntries
+  std::uint64_t refused() const { return refused_; }  // new ids rejected because of kMaxEntries
 
-  // Rises with each change; beats that change nothing leave it.
+  // Increases with each change; heartbeats without changes do not affect it.
   std::uint64_t version() const { return journal_.last(); }
-  const Journal<Event>& journal() const { return journal_; }
+  const Journal<HostEvent>& journal() const { return journal_; }
 
  private:
   struct IdTag {};
   struct AddressTag {};
   struct ServiceTag {};
-  struct DropTag {};
+  struct EvictionTag {};
   using Entries = boost::multi_index_container<
-      Entry,
+      HostEntry,
       boost::multi_index::indexed_by<
-          boost::multi_index::hashed_unique<boost::multi_index::tag<IdTag>,
-                                            boost::multi_index::member<Entry, std::string, &Entry::id>>,
+          boost::multi_index::hashed_unique<
+              boost::multi_index::tag<IdTag>,
+              boost::multi_index::member<HostEntry, std::string, &HostEntry::id>>,
           boost::multi_index::hashed_non_unique<
               boost::multi_index::tag<AddressTag>,
-              boost::multi_index::member<Entry, std::string, &Entry::address>>,
+              boost::multi_index::member<HostEntry, std::string, &HostEntry::address>>,
           boost::multi_index::hashed_non_unique<
               boost::multi_index::tag<ServiceTag>,
-              boost::multi_index::member<Entry, std::string, &Entry::service>>,
+              boost::multi_index::member<HostEntry, std::string, &HostEntry::service>>,
           boost::multi_index::ordered_non_unique<
-              boost::multi_index::tag<DropTag>,
-              boost::multi_index::const_mem_fun<Entry, std::pair<Entry::DropRank, Time>,
-                                                &Entry::drop_order>>>>;
-  using Place = Entries::iterator;
-
-  bool Take(Time now, Entry told);
-  bool TooOld(const Entry& entry, std::uint64_t stamp) const;
-  bool MakeRoom(const Entry& incoming);
-  void Drop(Place place);
-  void SetGone(Time now, Place place);
-  void ForgetLeaves(Time now);
-  void Put(Place place, Entry next, bool changed);
-  void Settle(Time now, const std::string& id);
-
-  const Fault fault_;
+              boost::multi_index::tag<EvictionTag>,
+              boost::multi_index::const_mem_fun<HostEntry, std::pair<HostEntry::EvictionRank, Time>,
+                                                &HostEntry::eviction_order>>>>;
+  using Position = Entries::iterator;
+
+  bool MergeReport(Time now, HostEntry reported);
+  bool IsStale(const HostEntry& entry, std::uint64_t stamp) const;
+  bool MakeRoom(const HostEntry& incoming);
+  void Erase(Position position);
+  void MarkRemoved(Time now, Position position);
+  void PurgeDepartures(Time now);
+  void Replace(Position position, HostEntry next, bool changed);
+  void ResolveAddressConflict(Time now, const std::string& id);
+
+  const InjectedFault injected_fault_;
   Entries entries_;
-  Journal<Event> journal_{kMostEvents};
-  std::uint64_t watermark_ = 1, confirmed_ = 0;  // the latter: no stamp counts as lower
+  Journal<HostEvent> journal_{kMaxJournalEvents};
+  // No stamp counts as lower than `confirmed_`.
+  std::uint64_t watermark_ = 1, confirmed_ = 0;
   std::uint64_t refused_ = 0;
 };
 
--- a/src/system/coordination_http.cpp
+++ b/src/system/coordination_http.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 using namespace coordination;
-using service_registry::BadCall;
 using service_registry::CallError;
 using service_registry::JsonBody;
+using service_registry::ThrowBadRequest;
 
 constexpr std::string_view kLocks = "/v1/locks/", kNumbers = "/v1/numbers/", kCells = "/v1/cells/",
                            kWatches = "/v1/watch/";
@@ -28,16 +28,16 @@
 }
 
 std::string NameIn(std::string_view text) {
-  if (text.empty()) BadCall("name: missing");
+  if (text.empty()) ThrowBadRequest("name: missing");
   if (text.size() > kMaxName) throw CallError(413, "name: too long");
   if (std::any_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c > '~' || c == '%'; }))
-    BadCall("name: characters that no name has");
+    ThrowBadRequest("name: characters that no name has");
   return std::string(text);
 }
 
 std::uint64_t WholeIn(const service_registry::JsonFields& fields, const char* name, double absent,
                       std::uint64_t most) {
-  return static_cast<std::uint64_t>(fields.Whole(name, absent, static_cast<double>(most)));
+  return static_cast<std::uint64_t>(fields.Integer(name, absent, static_cast<double>(most)));
 }
 
 struct NameAndVerb {
@@ -89,7 +89,7 @@
     std::uint64_t value = 0;
     const auto [last, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || last != text.data() + text.size())
-      BadCall(std::string(name) + ": not a whole number");
+      ThrowBadRequest(std::string(name) + ": not a whole number");
     return value;
   }
   return absent;
@@ -100,7 +100,7 @@
   WatchGroup watch;
   watch.group = NameIn(rest);
   watch.after = QueryNumber(query, "after", 0);
-  if (watch.after > kMaxExact) BadCall("after: too large");
+  if (watch.after > kMaxExact) ThrowBadRequest("after: too large");
   watch.wait_ms =
       static_cast<std::uint32_t>(std::min<std::uint64_t>(QueryNumber(query, "wait_ms", 0), kMaxWaitMs));
   return watch;
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -23,7 +23,7 @@
 #include "policy/policy.hpp"
 #include "policy/split_sequence.hpp"
 #include "registry/lease.hpp"
-#include "service_registry/by_service.hpp"
+#include "service_registry/hosts_by_service.hpp"
 #include "settings/settings.hpp"
 #include "trying/attempt.hpp"
 #include "util/hash.hpp"
@@ -52,7 +52,7 @@
   // Only forward: an older version than the one in force changes nothing.
   void SetPolicy(std::shared_ptr<const policy::Policy> policy);
   const std::shared_ptr<const policy::Policy>& policy() const { return policy_; }
-  void SetHosts(const service_registry::ByService& hosts);
+  void SetHosts(const service_registry::HostsByService& hosts);
   // How many there are, and which this one is of those in its zone.
   // Tells whether that is another part of the hosts than before.
   bool SetGateways(int gateways, std::size_t index, std::size_t in_zone);
--- a/src/system/front_in_force.cpp
+++ b/src/system/front_in_force.cpp
@@ -48,14 +48,14 @@
   return *service;
 }
 
-void Front::SetHosts(const service_registry::ByService& hosts) {
+void Front::SetHosts(const service_registry::HostsByService& hosts) {
   const TimePoint now = Now();
   std::unordered_map<HostId, HostInfo, IdHash> known;
   std::unordered_map<std::string, HostId> ids;
   for (auto& [name, service] : services_) service->known = false;
   for (const auto& [name, entries] : hosts.all()) {
     std::vector<choosing::Host> usable;
-    for (const service_registry::Entry& entry : entries) {
+    for (const service_registry::HostEntry& entry : entries) {
       const auto found = ids_.find(entry.id);
       const HostId id = found != ids_.end() ? found->second : HostId{next_host_++};
       const auto address = ParseAddress(entry.address);
@@ -69,7 +69,7 @@
         upstream_.CloseKeptTo(id);
         continue;
       }
-      usable.push_back({id, std::max(1, entry.slots), entry.zone == settings_.zone, 0, entry.silent,
+      usable.push_back({id, std::max(1, entry.slots), entry.zone == settings_.zone, 0, entry.unresponsive,
                         TimePoint(entry.warm_at.time_since_epoch())});
     }
     const auto near = std::count_if(usable.begin(), usable.end(), [](const auto& host) { return host.near; });
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -37,7 +37,7 @@
       fleet_link_(loop, link_descriptors_, *this),
       fleet_timer_(loop,
                    [this](int) {
-                     fleet::Out out;
+                     fleet::ProtocolOutput out;
                      fleet_->Tick(Now(), out);
                      ExecuteFleet(out);
                    }),
@@ -108,19 +108,19 @@
 
 // Also anew, when the core could be opened late: the same name in a later life.
 void Node::StartFleet() {
-  fleet::Options options;
+  fleet::MembershipOptions options;
   options.fleet = kFleetName;
   options.name = settings_.node_name;
   options.boot = BootNow();
   options.address = fleet_address_;
-  options.about = (core_ ? (in_memory_ ? kInMemory : kOnDisk) + Hex(disk_) : "-") + " " + settings_.zone;
-  options.about.resize(std::min(options.about.size(), fleet::kMostAbout));
-  options.probe = kProbe;
-  options.seeks_seeds = true;
+  options.metadata = (core_ ? (in_memory_ ? kInMemory : kOnDisk) + Hex(disk_) : "-") + " " + settings_.zone;
+  options.metadata.resize(std::min(options.metadata.size(), fleet::kMaxMetadataBytes));
+  options.probe_period = kProbe;
+  options.seek_missing_seeds = true;
   options.seeds = FleetSeeds();
-  fleet_ = std::make_unique<fleet::Machine>(options, StableHash(options.name, options.boot));
+  fleet_ = std::make_unique<fleet::MembershipProtocol>(options, StableHash(options.name, options.boot));
   seen_view_ = 0;
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   fleet_->Start(Now(), out);
   ExecuteFleet(out);
 }
@@ -205,7 +205,7 @@
   const auto silent =
       std::chrono::duration_cast<service_registry::Duration>(settings_.heartbeat * kSilentBeats);
   if (had_majority_ && ticks_ % 4 == 0 && now - started_at_ > silent) {
-    directory_.Silence(now, silent);
+    directory_.MarkUnresponsive(now, silent);
   }
   core_calls_.Tick(now);
   TickCoordination();
@@ -218,8 +218,8 @@
   }
   for (const CountName name : unanswered) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
   if (ticks_ % kSecondTicks == 0) {
-    if (const auto proved = registry_lease_.proved_at()) directory_.ConfirmLeaves(*proved);
-    directory_.Forget(now);
+    if (const auto proved = registry_lease_.proved_at()) directory_.ConfirmDepartures(*proved);
+    directory_.PurgeExpired(now);
     KeepHosts();
     if (open_again_) TryOpenCore();
     if (had_majority_ && ticks_ % (2 * kSecondTicks) == 0) Broadcast(Digest{HostsDigest()});
@@ -269,7 +269,7 @@
 }
 
 void Node::End() {
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   fleet_->Leave(Now(), out);
   ExecuteFleet(out);
   Say(front_.owes_anything() ? Event::kDrainCutShort : Event::kDrained, settings_.node_name);
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -15,14 +15,14 @@
 
 #include "agreement/core.hpp"
 #include "counting/held_counts.hpp"
-#include "fleet/machine.hpp"
+#include "fleet/membership_protocol.hpp"
 #include "net/fleet_link.hpp"
 #include "registry/lease.hpp"
 #include "registry/replica.hpp"
 #include "registry/watermark.hpp"
-#include "service_registry/by_service.hpp"
 #include "service_registry/command.hpp"
 #include "service_registry/heartbeat_targets.hpp"
+#include "service_registry/hosts_by_service.hpp"
 #include "service_registry/service_registry.hpp"
 #include "settings/settings.hpp"
 #include "storage/storage.hpp"
@@ -95,11 +95,11 @@
   void OnDatagram(std::string_view bytes) override;
   std::string OnExchange(std::string_view bytes) override;
   void OnExchangeEnd(const Address& with, std::string_view bytes) override;
-  void ExecuteFleet(const fleet::Out& out);
+  void ExecuteFleet(const fleet::ProtocolOutput& out);
   void OnView();
-  static bool IsOfCore(const fleet::Record& record);
-  static std::string ZoneOf(const fleet::Record& record);
-  agreement::Place PlaceOf(const fleet::Record& record) const;
+  static bool IsOfCore(const fleet::MemberRecord& record);
+  static std::string ZoneOf(const fleet::MemberRecord& record);
+  agreement::Place PlaceOf(const fleet::MemberRecord& record) const;
   int AtLeast(int gateways);
   void ConsiderCore();
 
@@ -132,9 +132,9 @@
 
   // Calls from outside.
   void OnCall(CallDoor::Call call);
-  void Execute(RequestId id, const service_registry::Beat& beat);
-  void Execute(RequestId id, const service_registry::Leave& leave);
-  void Execute(RequestId id, service_registry::PutConfig& put);
+  void Execute(RequestId id, const service_registry::Heartbeat& beat);
+  void Execute(RequestId id, const service_registry::Deregistration& leave);
+  void Execute(RequestId id, service_registry::ReplaceConfig& put);
   void Execute(RequestId id, const service_registry::ReadConfig& read);
   void Execute(RequestId id, const ReportCore& report);  // and the rest: report.cpp
   void Execute(RequestId id, const ReportHosts& report);
@@ -146,7 +146,7 @@
   void Execute(RequestId id, const ForgetMember& order);
   void ReplyReport(RequestId id, const std::string& json);
   void ReplyBeat(RequestId id);
-  void ReplyRefreshed(RequestId id, const service_registry::Beat& beat);
+  void ReplyRefreshed(RequestId id, const service_registry::Heartbeat& beat);
   void UpdateHeartbeatTargets();
   void ReplyJson(RequestId id, int status, const std::string& body);
   // Where the answer to a call goes that another gateway has passed on.
@@ -297,7 +297,7 @@
   bool gathered_ = false;
   bool keeping_hosts_ = false;
 
-  std::unique_ptr<fleet::Machine> fleet_;
+  std::unique_ptr<fleet::MembershipProtocol> fleet_;
   net::FleetLink fleet_link_;
   net::TimerWatcher fleet_timer_;
   std::uint64_t seen_view_ = 0;
@@ -308,8 +308,8 @@
   std::uint64_t epoch_ = 0;
   std::vector<CoreMember> members_;  // of the core, in `epoch_`
 
-  service_registry::Directory directory_;
-  service_registry::ByService by_service_;
+  service_registry::ServiceRegistry directory_;
+  service_registry::HostsByService by_service_;
   service_registry::HeartbeatTargets heartbeat_targets_;
   std::uint64_t told_hosts_ = 0;  // of the directory's journal
   std::vector<std::pair<std::string, std::uint64_t>> refreshed_;
--- a/src/system/node_calls.cpp
+++ b/src/system/node_calls.cpp
@@ -24,10 +24,10 @@
 void Node::ReplyBeat(RequestId id) { control_.Reply(id, 200, "{}", "application/json"); }
 
 // A gateway that leaves, or hears nothing of the core, hands its hosts on.
-void Node::ReplyRefreshed(RequestId id, const service_registry::Beat& beat) {
+void Node::ReplyRefreshed(RequestId id, const service_registry::Heartbeat& beat) {
   const std::string_view without =
       leaving_ || !InContact() ? std::string_view(settings_.node_name) : std::string_view();
-  const auto target = heartbeat_targets_.For(beat.id, beat.zone, without);
+  const auto target = heartbeat_targets_.TargetFor(beat.id, beat.zone, without);
   if (!target) return ReplyBeat(id);
   json::Document body;
   body.Text("heartbeat_target", std::string(*target));
@@ -37,7 +37,7 @@
 // Ports are alike on all machines.
 void Node::UpdateHeartbeatTargets() {
   std::vector<service_registry::HeartbeatTargets::Gateway> gateways;
-  const auto add = [&](const fleet::Record& record) {
+  const auto add = [&](const fleet::MemberRecord& record) {
     if (!record.present()) return;
     const Address control{record.address.ip, settings_.listen_addresses.control_plane->port};
     gateways.push_back({record.name, ZoneOf(record), control.ToText()});
@@ -48,7 +48,7 @@
   heartbeat_targets_.SetGateways(gateways);
 }
 
-void Node::Execute(RequestId id, const service_registry::Beat& beat) {
+void Node::Execute(RequestId id, const service_registry::Heartbeat& beat) {
   // The host has given up waiting for an answer long ago, and may have left since.
   if (!beat.draining && pause_watch_.InputMayBeOld(Now())) return control_.Reply(id, 503);
   const auto* known = directory_.Find(beat.id);
@@ -60,12 +60,12 @@
   Replicate(id, beat.id, beat.draining);
 }
 
-void Node::Execute(RequestId id, const service_registry::Leave& leave) {
+void Node::Execute(RequestId id, const service_registry::Deregistration& leave) {
   directory_.Apply(Now(), leave);
   Replicate(id, leave.id, true);
 }
 
-void Node::Execute(RequestId id, service_registry::PutConfig& put) {
+void Node::Execute(RequestId id, service_registry::ReplaceConfig& put) {
   std::uint64_t version = 0;
   try {
     checked_ = policy::Policy::Read(put.text);
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -69,7 +69,7 @@
       least_gateways_ = std::clamp(std::atoi(gateways->c_str()), 0, kMostGateways);
     if (const auto hosts = storage_->Read(kHostsKey))
       if (const auto entries = service_registry::Decode(*hosts, Now()))
-        for (const service_registry::Entry& entry : *entries) directory_.Merge(Now(), entry);
+        for (const service_registry::HostEntry& entry : *entries) directory_.Merge(Now(), entry);
   } else {
     read.reset();
     log.emplace();
@@ -237,9 +237,9 @@
 void Node::KeepHosts() {
   if (!storage_ || keeping_hosts_ || (kept_hosts_ == directory_.version() && kept_gateways_ == gateways_))
     return;
-  std::vector<service_registry::Entry> entries;
-  for (service_registry::Entry& entry : directory_.All())
-    if (!entry.gone()) entries.push_back(std::move(entry));
+  std::vector<service_registry::HostEntry> entries;
+  for (service_registry::HostEntry& entry : directory_.All())
+    if (!entry.removed()) entries.push_back(std::move(entry));
   if (!storage_->Write(kHostsWrite, {{kHostsKey, service_registry::Encode(entries, Now())},
                                      {kGatewaysKey, std::to_string(gateways_)}}))
     return;
--- a/src/system/node_count.cpp
+++ b/src/system/node_count.cpp
@@ -34,7 +34,7 @@
 // It has not said that it leaves, and was there not long ago.
 bool Node::MayBeAtWork(const fleet::Member& member) {
   if (member.record.present()) return true;
-  return member.record.state != fleet::State::kLeft && Now() - member.since <= kAwayFor;
+  return member.record.state != fleet::MemberState::kLeft && Now() - member.state_since <= kAwayFor;
 }
 
 // Gateways that were there not long ago and have not said that they leave, and that can't be heard here.
--- a/src/system/node_directory.cpp
+++ b/src/system/node_directory.cpp
@@ -17,10 +17,10 @@
     return Merged::kUnreadable;
   }
   bool any_leave = false, all_held = true;
-  for (const service_registry::Entry& entry : *entries) {
+  for (const service_registry::HostEntry& entry : *entries) {
     directory_.Merge(Now(), entry);
-    any_leave = any_leave || entry.leaves();
-    const bool owed = entry.leaves() ? !directory_.Forgettable(entry) : !entry.gone();
+    any_leave = any_leave || entry.departing();
+    const bool owed = entry.departing() ? !directory_.CanPurge(entry) : !entry.removed();
     all_held = all_held && (!owed || directory_.Find(entry.id) != nullptr);
   }
   if (!all_held) return Merged::kNotTaken;
@@ -30,10 +30,10 @@
 // To all that want news from here: the leaves among what has changed after that event of the journal.
 void Node::RelayLeaves(std::uint64_t after) {
   if (!core_ || directory_.version() == after) return;
-  std::vector<service_registry::Entry> leaves;
+  std::vector<service_registry::HostEntry> leaves;
   if (const auto events = directory_.journal().Since(after)) {
-    for (const service_registry::Event& event : *events)
-      if (event.kind != service_registry::Event::Kind::kForgotten && event.entry.leaves())
+    for (const service_registry::HostEvent& event : *events)
+      if (event.kind != service_registry::HostEvent::Kind::kPurged && event.entry.departing())
         leaves.push_back(event.entry);
   } else {
     leaves = directory_.All();
@@ -44,24 +44,24 @@
 std::uint64_t Node::HostsDigest() const {
   std::uint64_t digest = 0;
   for (const auto& [service, entries] : by_service_.all())
-    for (const service_registry::Entry& entry : entries)
-      digest +=
-          StableHash(entry.id, StableHash(service, entry.draining)) ^ StableHash(entry.address, entry.silent);
+    for (const service_registry::HostEntry& entry : entries)
+      digest += StableHash(entry.id, StableHash(service, entry.draining)) ^
+                StableHash(entry.address, entry.unresponsive);
   return digest;
 }
 
 void Node::PublishHosts() {
-  std::map<std::string, service_registry::Entry> latest;
-  std::vector<service_registry::Entry> changed;
+  std::map<std::string, service_registry::HostEntry> latest;
+  std::vector<service_registry::HostEntry> changed;
   if (const auto news = directory_.journal().Since(told_hosts_)) {
-    for (const service_registry::Event& event : *news) {
-      if (event.kind == service_registry::Event::Kind::kForgotten) continue;
+    for (const service_registry::HostEvent& event : *news) {
+      if (event.kind == service_registry::HostEvent::Kind::kPurged) continue;
       latest[event.entry.id] = event.entry;
       const auto& entry = event.entry;
-      Say(entry.gone()     ? Event::kHostGone
-          : entry.silent   ? Event::kHostSilent
-          : entry.draining ? Event::kHostDraining
-                           : Event::kHostSeen,
+      Say(entry.removed()      ? Event::kHostGone
+          : entry.unresponsive ? Event::kHostSilent
+          : entry.draining     ? Event::kHostDraining
+                               : Event::kHostSeen,
           entry.id + " " + entry.service + " " + entry.address);
     }
   } else {
@@ -70,7 +70,7 @@
   for (auto& [id, entry] : latest) changed.push_back(std::move(entry));
   told_hosts_ = directory_.version();
   if (core_ && !changed.empty()) Broadcast(Hosts{service_registry::Encode(changed, Now())});
-  if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
+  if (by_service_.Update(directory_)) front_.SetHosts(by_service_);
   for (const RequestId call : std::exchange(owed_beats_, {})) ReplyBeat(call);
 }
 
--- a/src/system/node_membership.cpp
+++ b/src/system/node_membership.cpp
@@ -9,31 +9,32 @@
 namespace curlewdoor::system {
 
 void Node::OnDatagram(std::string_view bytes) {
-  auto why = fleet::Drop::kNone;
+  auto why = fleet::DropReason::kNone;
   const auto message = fleet::Decode(bytes, kFleetName, why);
-  if (!message || message->kind == fleet::Kind::kExchange || message->kind == fleet::Kind::kExchangeReply)
+  if (!message || message->kind == fleet::MessageKind::kExchange ||
+      message->kind == fleet::MessageKind::kExchangeReply)
     return;
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   fleet_->OnMessage(Now(), *message, out);
   ExecuteFleet(out);
 }
 
 std::string Node::OnExchange(std::string_view bytes) {
-  auto why = fleet::Drop::kNone;
+  auto why = fleet::DropReason::kNone;
   const auto message = fleet::Decode(bytes, kFleetName, why);
-  if (!message || message->kind != fleet::Kind::kExchange) return {};
-  std::string answer = fleet::Encode(fleet_->Full(fleet::Kind::kExchangeReply), kFleetName);
-  fleet::Out out;
+  if (!message || message->kind != fleet::MessageKind::kExchange) return {};
+  std::string answer = fleet::Encode(fleet_->FullState(fleet::MessageKind::kExchangeReply), kFleetName);
+  fleet::ProtocolOutput out;
   fleet_->OnMessage(Now(), *message, out);
   ExecuteFleet(out);
   return answer;
 }
 
 void Node::OnExchangeEnd(const Address& with, std::string_view bytes) {
-  auto why = fleet::Drop::kNone;
-  fleet::Out out;
+  auto why = fleet::DropReason::kNone;
+  fleet::ProtocolOutput out;
   const auto message = bytes.empty() ? std::nullopt : fleet::Decode(bytes, kFleetName, why);
-  if (message && message->kind == fleet::Kind::kExchangeReply) {
+  if (message && message->kind == fleet::MessageKind::kExchangeReply) {
     fleet_->OnMessage(Now(), *message, out);
   } else {
     fleet_->OnExchangeFailed(Now(), with, out);
@@ -41,14 +42,15 @@
   ExecuteFleet(out);
 }
 
-void Node::ExecuteFleet(const fleet::Out& out) {
+void Node::ExecuteFleet(const fleet::ProtocolOutput& out) {
   for (const auto& [to, message] : out.datagrams) fleet_link_.Send(to, fleet::Encode(message, kFleetName));
   for (const auto& [with, message] : out.exchanges)
     fleet_link_.Exchange(with, fleet::Encode(message, kFleetName));
-  for (const fleet::Change& change : out.changes) {
-    if (change.kind != fleet::Change::Kind::kMember) continue;
+  for (const fleet::MembershipChange& change : out.changes) {
+    if (change.kind != fleet::MembershipChange::Kind::kMemberChanged) continue;
     Say(change.member.present() ? Event::kMemberSeen : Event::kMemberLost,
-        change.member.name + " " + std::string(fleet::Word(change.member.state)) + " " + change.member.about);
+        change.member.name + " " + std::string(fleet::StateName(change.member.state)) + " " +
+            change.member.metadata);
   }
   fleet_timer_.Stop();
   if (const auto due = fleet_->NextDue()) {
@@ -61,16 +63,19 @@
 void Node::OnView() {
   std::vector<Address> targets;
   std::vector<agreement::Seen> counted;
-  const auto look = [&](const fleet::Record& record) {
+  const auto look = [&](const fleet::MemberRecord& record) {
     const bool of_roster = std::any_of(members_.begin(), members_.end(),
                                        [&](const CoreMember& each) { return each.name == record.name; });
     // The lives of a machine's earlier processes are gone, and all of them are once it has left.
-    if (in_memory_ && of_roster && (!IsOfCore(record) || record.state == fleet::State::kLeft))
+    if (in_memory_ && of_roster && (!IsOfCore(record) || record.state == fleet::MemberState::kLeft))
       counted.push_back(
-          {{{record.name, FirstLife(record.boot + (record.state == fleet::State::kLeft))}, {}}, false, {}});
+          {{{record.name, FirstLife(record.boot + (record.state == fleet::MemberState::kLeft))}, {}},
+           false,
+           {}});
     if (!IsOfCore(record)) return;
     const Address address{record.address.ip, link_address_.port};
-    const std::uint64_t disk = std::strtoull(record.about.c_str() + record.about.find(':') + 1, nullptr, 16);
+    const std::uint64_t disk =
+        std::strtoull(record.metadata.c_str() + record.metadata.find(':') + 1, nullptr, 16);
     counted.push_back({{{record.name, disk}, address.ToText()}, record.present(), PlaceOf(record)});
     if (record.present() && address != link_address_) targets.push_back(address);
   };
@@ -115,18 +120,18 @@
 }
 
 // What a gateway says of itself in the view: whether it is of the core, then its zone.
-std::string Node::ZoneOf(const fleet::Record& record) {
-  return record.about.substr(record.about.find(' ') + 1);
+std::string Node::ZoneOf(const fleet::MemberRecord& record) {
+  return record.metadata.substr(record.metadata.find(' ') + 1);
 }
 
-agreement::Place Node::PlaceOf(const fleet::Record& record) const {
+agreement::Place Node::PlaceOf(const fleet::MemberRecord& record) const {
   const std::string zone = ZoneOf(record);
   const auto region = settings_.zones.find(zone);
   return {zone, region != settings_.zones.end() ? region->second : std::string()};
 }
 
-bool Node::IsOfCore(const fleet::Record& record) {
-  return record.about.starts_with(kOnDisk) || record.about.starts_with(kInMemory);
+bool Node::IsOfCore(const fleet::MemberRecord& record) {
+  return record.metadata.starts_with(kOnDisk) || record.metadata.starts_with(kInMemory);
 }
 
 // Where no machine has a disk that counts, the core is of those that serve control, in memory: the first ones
@@ -138,9 +143,9 @@
   if (epoch_ == 0 && (!fleet_->settled() || Now() - started_at_ < kConsiderAfter)) return;
   std::size_t before = 0, in_memory = 0;
   for (const auto& [name, member] : fleet_->others()) {
-    if (member.record.about.starts_with(kOnDisk)) return;
+    if (member.record.metadata.starts_with(kOnDisk)) return;
     if (!member.record.present()) continue;
-    in_memory += member.record.about.starts_with(kInMemory);
+    in_memory += member.record.metadata.starts_with(kInMemory);
     before += member.record.address < fleet_address_;
   }
   if (before >= kMostInMemory || (!settings_.bootstrap && in_memory == 0)) return;
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -126,7 +126,7 @@
   if (merged == Merged::kUnreadable) return stream.Close();
   RelayLeaves(before);
   told_hosts_ = directory_.version();
-  if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
+  if (by_service_.Update(directory_)) front_.SetHosts(by_service_);
 }
 
 void Node::Handle(Link::Stream& stream, Refreshed& message) {
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -182,9 +182,9 @@
 }
 
 std::string Node::EncodeLeaves(const registry::ReplicaRecord& record) const {
-  std::vector<service_registry::Entry> leaves;
-  directory_.ForEach([&](const service_registry::Entry& entry) {
-    if (entry.leaves()) leaves.push_back(entry);
+  std::vector<service_registry::HostEntry> leaves;
+  directory_.ForEach([&](const service_registry::HostEntry& entry) {
+    if (entry.departing()) leaves.push_back(entry);
   });
   return registry::Encode({record, service_registry::Encode(leaves, Now())});
 }
@@ -196,7 +196,7 @@
     // As if it had begun anew: it votes once it has learned from the others what it forgot.
     return Say(Event::kStorageDamaged, "the leaves of hosts can't be read");
   }
-  for (const service_registry::Entry& entry : *leaves) directory_.Merge(Now(), entry);
+  for (const service_registry::HostEntry& entry : *leaves) directory_.Merge(Now(), entry);
   registry_replica_->Restore(kept->record);
   RaiseWatermark(kept->record.watermark);
 }
@@ -247,7 +247,7 @@
 void Node::OnWatermark() {
   if (registry_replica_) registry_replica_->SetWatermark(watermark_.value());
   const std::size_t before = directory_.size();
-  directory_.Raise(watermark_.value());
+  directory_.RaiseWatermark(watermark_.value());
   if (const std::size_t dropped = before - directory_.size(); dropped > 0)
     Say(Event::kHostsTooOld, std::to_string(dropped) + " at watermark " + std::to_string(watermark_.value()));
   // Requests may be sent by a proof that is only being taken in: not by a view with what was dropped.
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -12,7 +12,7 @@
 
 #include "events/events.hpp"
 #include "policy/policy.hpp"
-#include "service_registry/by_service.hpp"
+#include "service_registry/hosts_by_service.hpp"
 #include "system/command.hpp"
 #include "system/json.hpp"
 #include "system/node.hpp"
@@ -49,9 +49,9 @@
   return all;
 }
 
-std::string_view Word(const service_registry::Entry& entry) {
-  if (entry.gone()) return entry.left ? "left" : "gone";
-  if (entry.silent) return "silent";
+std::string_view Word(const service_registry::HostEntry& entry) {
+  if (entry.removed()) return entry.deregistered ? "left" : "gone";
+  if (entry.unresponsive) return "silent";
   return entry.state == service_registry::HostState::kDraining ? "draining" : "ready";
 }
 
@@ -180,10 +180,10 @@
     each.Text("name", member.name).Text("life", LifeText(member.disk));
     each.Text("address", member.address.ToText());
     each.Text("state", here    ? "here"
-                       : known ? std::string(fleet::Word(seen->second.record.state))
+                       : known ? std::string(fleet::StateName(seen->second.record.state))
                                : "unknown");
     // Of a machine that is there with another disk: its life is no longer in the roster.
-    each.Flag("life_seen", here || (known && seen->second.record.about.find(":" + LifeText(member.disk)) !=
+    each.Flag("life_seen", here || (known && seen->second.record.metadata.find(":" + LifeText(member.disk)) !=
                                                  std::string::npos));
     each.Flag("linked", here || link_.To(member.address) != nullptr);
   }
@@ -219,12 +219,12 @@
 
 // Host by host: a tree of the whole answer would take some 10 MB, which the process would keep.
 void Node::Execute(RequestId id, const ReportHosts&) {
-  std::vector<service_registry::Entry> entries = directory_.All();
+  std::vector<service_registry::HostEntry> entries = directory_.All();
   std::sort(entries.begin(), entries.end(),
-            [](const service_registry::Entry& a, const service_registry::Entry& b) {
+            [](const service_registry::HostEntry& a, const service_registry::HostEntry& b) {
               return std::tie(a.service, a.id) < std::tie(b.service, b.id);
             });
-  if (entries.size() > service_registry::kMostEntries) entries.resize(service_registry::kMostEntries);
+  if (entries.size() > service_registry::kMaxEntries) entries.resize(service_registry::kMaxEntries);
   const Steady now = Now();
   Document answer;
   answer.Number("count", static_cast<double>(entries.size()));
@@ -236,13 +236,14 @@
   text.resize(text.size() - kEnd.size());
   text.reserve(text.size() + entries.size() * kUsualHost);
   bool first = true;
-  for (const service_registry::Entry& entry : entries) {
+  for (const service_registry::HostEntry& entry : entries) {
     Document each;
     each.Text("id", entry.id).Text("service", entry.service).Text("address", entry.address);
     each.Text("zone", entry.zone).Text("state", std::string(Word(entry)));
-    each.Flag("draining", entry.draining).Flag("silent", entry.silent).Number("slots", entry.slots);
+    each.Flag("draining", entry.draining).Flag("silent", entry.unresponsive).Number("slots", entry.slots);
     each.Number("sequence", static_cast<double>(entry.sequence));
-    each.Number("heard_s_ago", entry.heard == service_registry::Time{} ? -1 : Seconds(now - entry.heard));
+    each.Number("heard_s_ago",
+                entry.last_heard == service_registry::Time{} ? -1 : Seconds(now - entry.last_heard));
     each.Number("warm_in_s", std::max(0.0, Seconds(entry.warm_at - now)));
     if (!std::exchange(first, false)) text += ',';
     text += each.Print();
@@ -288,19 +289,20 @@
   const Steady now = Now();
   Document answer;
   answer.Number("alive", static_cast<double>(fleet_->alive())).Flag("settled", fleet_->settled());
-  if (!fleet_->refused().empty()) answer.Text("refused", fleet_->refused());
+  if (!fleet_->rejection().empty()) answer.Text("refused", fleet_->rejection());
   cJSON* gateways = answer.List("gateways");
-  const auto add = [&](const fleet::Record& record, bool here, double since) {
+  const auto add = [&](const fleet::MemberRecord& record, bool here, double since) {
     Object each = AddTo(gateways);
-    each.Text("name", record.name).Text("state", std::string(fleet::Word(record.state)));
+    each.Text("name", record.name).Text("state", std::string(fleet::StateName(record.state)));
     each.Text("address", record.address.ToText());
     each.Flag("here", here).Flag("core", IsOfCore(record));
     each.Number("boot", static_cast<double>(record.boot)).Number("incarnation", record.incarnation);
     each.Number("since_s", since);
-    if (!record.by.empty()) each.Text("by", record.by);
+    if (!record.reported_by.empty()) each.Text("by", record.reported_by);
   };
   add(fleet_->self(), true, Seconds(now - started_at_));
-  for (const auto& [name, member] : fleet_->others()) add(member.record, false, Seconds(now - member.since));
+  for (const auto& [name, member] : fleet_->others())
+    add(member.record, false, Seconds(now - member.state_since));
   ReplyReport(id, answer.Print());
 }
 
--- a/tests/budget/model_check_test.cpp
+++ b/tests/budget/model_check_test.cpp
@@ -51,7 +51,7 @@
   std::vector<Divider> divider;  // one
   std::vector<Mail> mail;
   std::vector<std::pair<Units, Time>> spent_on;  // of kRestartSpendsOn: what a new life takes for its own
-  std::vector<Life> lives;
+  std::vector<Incarnation> lives;
   std::uint64_t token = 1;
   int true_time = 100, restarts = 0, moves = 0;
 };
@@ -213,7 +213,7 @@
       State next = state;
       ++next.restarts;
       if (mutant_ == Mutant::kRestartSpendsOn)
-        next.spent_on[g] = {next.parts[g].Granted(Clock(next, g)), Clock(next, g) + terms_.lease.held()};
+        next.spent_on[g] = {next.parts[g].Granted(Clock(next, g)), Clock(next, g) + terms_.lease.hold_time()};
       next.lives[g] = g + 11;
       next.parts[g] = Part(terms_, g + 11);
       Step(std::move(next), depth, "gateway " + std::to_string(g) + " restarts");
