--- a/src/app/peers.hpp
+++ b/src/app/peers.hpp
@@ -66,7 +66,7 @@
   const std::function<duty::UsageCounts()> own_use_;
   std::optional<Duties> duties_;
   std::uint64_t told_version_of_view_ = 0;  // that duties know
-  std::array<std::uint64_t, 5> dropped_{};  // by fleet::Drop
+  std::array<std::uint64_t, 5> dropped_{};  // by fleet::DropReason
   std::uint64_t changes_ = 0, stalls_ = 0;
   bool told_version_ = false, told_open_ = false, told_seeds_ = false, carrying_ = false;
 };
--- a/src/duty/duty_manager.hpp
+++ b/src/duty/duty_manager.hpp
@@ -25,6 +25,7 @@
 
 inline constexpr std::size_t kMaxVoters = 7;
 
+// Configuration of the duties of one gateway.
 struct DutyOptions {
   std::string name;                        // of this gateway, as in the membership
   std::vector<std::string> voters;         // 1, 3, 5 or 7 names
@@ -48,11 +49,13 @@
   std::map<std::string, Peer> others;  // present members other than this gateway
 };
 
+// An encoded message to another gateway.
 struct OutgoingMessage {
   std::string to;  // name of the member
   std::string bytes;
 };
 
+// A change of a lease of this gateway.
 struct DutyChange {
   enum class Kind : std::uint8_t {
     kGained,
@@ -67,12 +70,13 @@
   Time until{};
 };
 
+// Results of a call: messages to send and changes to report.
 struct DutyOutput {
   std::vector<OutgoingMessage> messages;
   std::vector<DutyChange> changes;
 };
 
-// State of one duty, for operators and tests.
+// State of one duty, for operators and tests. `acts` counts authorized actions, `stale` rejected tokens.
 struct DutyStatus {
   std::string duty;
   std::string_view state;  // waiting, asking, holding, passing
@@ -84,6 +88,7 @@
   std::uint64_t changes = 0, acts = 0, stale = 0;
 };
 
+// State machine for the duties of one gateway.
 class DutyManager {
  public:
   // `floor`: no earlier incarnation of the voter on this gateway can have granted a token above it: boot *
--- a/src/duty/lease.hpp
+++ b/src/duty/lease.hpp
@@ -17,6 +17,7 @@
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::nanoseconds;
 
+// Parameters of a lease, equal for all gateways of a fleet.
 struct LeaseTerms {
   // Duration of a promise (L), on the voter's clock, from the moment of the grant.
   Duration lease = std::chrono::seconds(3);
@@ -53,12 +54,14 @@
 // Identifies one incarnation of a gateway, as membership tells them apart.
 using Incarnation = std::uint64_t;
 
+// Asks a voter for a promise, or for the renewal of one.
 struct LeaseRequest {
   std::uint64_t request_id = 0;  // increases with each request of this candidate
   Incarnation candidate = 0;
   std::uint64_t token = 0;
 };
 
+// Vote on a LeaseRequest.
 struct LeaseReply {
   std::uint64_t request_id = 0;
   bool granted = false;
@@ -66,6 +69,7 @@
   std::uint64_t highest_token = 0;
 };
 
+// Promises a duty to at most one candidate at a time.
 class Voter {
  public:
   // `floor`: no earlier incarnation can have granted a token above it (docs/duties.md, "Tokens rise").
@@ -140,6 +144,7 @@
   std::uint64_t highest_token_;
 };
 
+// Requests a duty and holds its lease while a majority of voters has promised it.
 class Candidate {
  public:
   Candidate(const LeaseTerms& terms, Incarnation incarnation) : terms_(terms), incarnation_(incarnation) {}
--- a/src/duty/message.hpp
+++ b/src/duty/message.hpp
@@ -36,6 +36,7 @@
   bool operator==(const VoterLists&) const = default;
 };
 
+// The part of a message about one duty.
 struct DutyEntry {
   std::string duty{};
   // `token`: from a voter, the highest token that it has seen.
@@ -47,6 +48,7 @@
   std::string holder{};  // name of that gateway
 };
 
+// A message about one or more duties.
 struct DutyMessage {
   MessageKind kind = MessageKind::kQuery;
   std::uint32_t round = 0;  // of a query, repeated in its reply
@@ -56,6 +58,7 @@
 };
 
 std::string Encode(const DutyMessage& message);
+// Returns nullopt if the bytes are malformed or exceed a bound.
 std::optional<DutyMessage> Decode(std::string_view bytes);
 
 }  // namespace curlewdoor::duty
--- a/src/duty/usage.hpp
+++ b/src/duty/usage.hpp
@@ -16,6 +16,7 @@
 
 inline constexpr std::uint8_t kUsageChannel = 2;
 
+// Request counts of one gateway.
 struct UsageCounts {
   std::uint64_t served = 0, refused = 0, failed = 0;  // requests since the start of that incarnation
 };
@@ -33,6 +34,7 @@
   return reader.ok() ? std::optional(usage) : std::nullopt;
 }
 
+// Latest reports of all gateways, kept by the holder of the duty `record`.
 class UsageTable {
  public:
   static constexpr std::size_t kMaxGateways = 1024;  // as many as a membership view holds
--- a/src/duty/view.hpp
+++ b/src/duty/view.hpp
@@ -11,6 +11,7 @@
 // Metadata tag of a gateway that accepts duties.
 inline constexpr std::string_view kDutiesTag = ",duties";
 
+// The part of the membership that duties use.
 FleetView FleetViewOf(const fleet::MembershipProtocol& membership);
 
 }  // namespace curlewdoor::duty
--- a/src/fleet/membership_protocol.cpp
+++ b/src/fleet/membership_protocol.cpp
@@ -649,6 +649,7 @@
     self_.incarnation = std::max(self_.incarnation, update.incarnation);
     return;
   }
+  // Announced by a process that took over in an upgrade and then ended; this gateway is still running.
   if (update.state == MemberState::kLeft) {
     ++self_.boot;
     self_.incarnation = 0;
@@ -779,7 +780,7 @@
 // end).
 std::optional<Time> MembershipProtocol::NextSuspectPing(const Suspicion& suspicion) const {
   // Fractions of the timeout. Five pings, because a ping or its answer is lost once in five at 10% loss and
-  // once in four where some datagrams are also corrupted: three in a row were lost once in 64
+  // once in four where some datagrams are also corrupted; three in a row then fail once in 64
   // (fleet-mix-stalls, seed 446).
   constexpr double kPingPoints[] = {0.3, 0.45, 0.6, 0.75, 0.9};
   if (!options_.lifeguard || suspicion.pings >= static_cast<int>(std::size(kPingPoints))) return std::nullopt;
--- a/src/fleet/membership_protocol.hpp
+++ b/src/fleet/membership_protocol.hpp
@@ -23,6 +23,7 @@
 
 namespace curlewdoor::fleet {
 
+// Configuration of one member.
 struct MembershipOptions {
   std::string fleet;  // name of the fleet: 1 to kMaxNameBytes bytes
   std::string name;   // name of this gateway, unique within the fleet: 1 to kMaxNameBytes bytes
@@ -40,6 +41,7 @@
   bool lifeguard = true;  // false: plain SWIM, the baseline of the measurements
 };
 
+// A message to be sent to an address.
 struct OutgoingMessage {
   Address to;
   GossipMessage message;
@@ -66,6 +68,7 @@
   std::string bytes;
 };
 
+// Results of a call: messages to send, changes and payloads to deliver.
 struct ProtocolOutput {
   std::vector<OutgoingMessage> datagrams;  // at most kMaxDatagramBytes bytes each
   std::vector<OutgoingMessage> exchanges;  // to be sent by TCP; the reply is passed to OnMessage()
@@ -73,11 +76,13 @@
   std::vector<ReceivedPayload> payloads;
 };
 
+// A member as seen by this gateway.
 struct Member {
   MemberRecord record;
   Time state_since;  // when the state last changed, on the clock of this gateway
 };
 
+// State machine for the membership of one gateway.
 class MembershipProtocol {
  public:
   MembershipProtocol(MembershipOptions options, std::uint64_t seed);
--- a/src/fleet/message.hpp
+++ b/src/fleet/message.hpp
@@ -32,6 +32,7 @@
 };
 inline constexpr std::uint8_t kLastKind = static_cast<std::uint8_t>(MessageKind::kPayload);
 
+// A message of the membership protocol; `kind` determines the fields that are used.
 struct GossipMessage {
   MessageKind kind = MessageKind::kPing;
   std::uint32_t sequence = 0;
--- a/src/service_registry/command.hpp
+++ b/src/service_registry/command.hpp
@@ -39,10 +39,12 @@
   std::string id{};
 };
 
+// Replaces the configuration.
 struct ReplaceConfig {
   std::string text{};  // the unparsed body
 };
 
+// Reads the configuration.
 struct ReadConfig {};
 
 using Command = std::variant<Heartbeat, Deregistration, ReplaceConfig, ReadConfig>;
--- a/src/service_registry/heartbeat_targets.hpp
+++ b/src/service_registry/heartbeat_targets.hpp
@@ -12,6 +12,7 @@
 
 namespace curlewdoor::service_registry {
 
+// Assigns hosts to gateways of their zone.
 class HeartbeatTargets {
  public:
   struct Gateway {
--- a/src/service_registry/hosts_by_service.hpp
+++ b/src/service_registry/hosts_by_service.hpp
@@ -11,6 +11,7 @@
 
 namespace curlewdoor::service_registry {
 
+// Hosts grouped by service.
 class HostsByService {
  public:
   // Applies the changes since the last call, or rebuilds the index if the journal no longer contains them.
--- a/src/service_registry/journal.hpp
+++ b/src/service_registry/journal.hpp
@@ -9,6 +9,7 @@
 
 namespace curlewdoor::service_registry {
 
+// Events with consecutive numbers, of which the latest are kept.
 template <class Event>
 class Journal {
  public:
--- a/src/service_registry/service_registry.hpp
+++ b/src/service_registry/service_registry.hpp
@@ -52,6 +52,7 @@
 
 enum class HostState : std::uint8_t { kReady, kDraining, kRemoved };
 
+// State of one incarnation of a host.
 struct HostEntry {
   // All except `id` are empty if only the deregistration was received.
   std::string id{}, service{}, address{}, zone{};
@@ -93,6 +94,7 @@
   HostEntry entry{};  // state after the event; with kPurged, before it
 };
 
+// The hosts known to this gateway, with a journal of changes.
 class ServiceRegistry {
  public:
   // Faults for tests of the checkers: departures are purged like other removals, or stale claims are
--- a/src/system/pause_watch.hpp
+++ b/src/system/pause_watch.hpp
@@ -2,7 +2,7 @@
 // machine, swapped memory): a host's beat that was read late may say that a host is here that has left, and
 // has been forgotten, since. Pure.
 //
-// Together with CallDoor's bound on idle connections it keeps service_registry::kMostCallDelay: who calls
+// Together with CallDoor's bound on idle connections it keeps service_registry::kMaxCallDelay: who calls
 // gives up after a second, and what is still under way then comes to a connection that was closed.
 #pragma once
 
--- a/tests/fleet/rig_test.cpp
+++ b/tests/fleet/rig_test.cpp
@@ -16,14 +16,14 @@
   return name;
 }
 
-void PlayWithRealProcesses(const char* name) {
+void RunWithRealProcesses(const char* name) {
   const Scenario scenario = LoadRehearsal(name);
   const Result result = playing::FleetRig(scenario, scenario.seed, {CURLEWDOOR_PROGRAM, ""}).Play();
   EXPECT_TRUE(result.AllHeld()) << TextReport(result) << "again: curlewdoor-kit fleet rehearsals/" << name
                                 << ".toml --logs FOLDER";
 }
 
-void PlayInVirtualTime(const char* name) {
+void RunInVirtualTime(const char* name) {
   const Scenario scenario = LoadRehearsal(name);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     VirtualFleet fleet(scenario, seed);
@@ -39,7 +39,7 @@
                                            "fleet-upgrade", "fleet-loss", "fleet-twin"),
                          TestNameOf);
 
-TEST_P(FleetRig, AllHeldWithRealProcesses) { PlayWithRealProcesses(GetParam()); }
+TEST_P(FleetRig, AllHeldWithRealProcesses) { RunWithRealProcesses(GetParam()); }
 
 // Duties: at most one holder at a time, according to the logs of the daemons and the entries in the ledger.
 class DutyRig : public ::testing::TestWithParam<const char*> {};
@@ -49,18 +49,18 @@
                                            "duty-new-voters", "duty-split", "duty-stall", "duty-voters"),
                          TestNameOf);
 
-TEST_P(DutyRig, AllHeldWithRealProcesses) { PlayWithRealProcesses(GetParam()); }
+TEST_P(DutyRig, AllHeldWithRealProcesses) { RunWithRealProcesses(GetParam()); }
 
-TEST_P(DutyRig, AllHeldInVirtualTime) { PlayInVirtualTime(GetParam()); }
+TEST_P(DutyRig, AllHeldInVirtualTime) { RunInVirtualTime(GetParam()); }
 
 // With client requests during the run; the five rules for requests are checked too.
 class FleetRigWithLoad : public ::testing::TestWithParam<const char*> {};
 INSTANTIATE_TEST_SUITE_P(Rehearsals, FleetRigWithLoad,
                          ::testing::Values("fleet-load-stall", "fleet-load-breaks"), TestNameOf);
 
-TEST_P(FleetRigWithLoad, AllHeldWithRealProcesses) { PlayWithRealProcesses(GetParam()); }
+TEST_P(FleetRigWithLoad, AllHeldWithRealProcesses) { RunWithRealProcesses(GetParam()); }
 
-TEST_P(FleetRig, AllHeldInVirtualTime) { PlayInVirtualTime(GetParam()); }
+TEST_P(FleetRig, AllHeldInVirtualTime) { RunInVirtualTime(GetParam()); }
 
 }  // namespace
 }  // namespace curlewdoor::fleetkit
--- a/tests/fleet/view_test.cpp
+++ b/tests/fleet/view_test.cpp
@@ -26,7 +26,7 @@
 
 // Seeds found by a search over a thousand, and the failures they guard against:
 //   - crashes 24: a gateway known to all members never answered a ping, because its own join had not
-//   completed.
+//     completed.
 //   - splits 37: a newcomer was waiting in the back-off of its join.
 //   - splits 966: a refutation went only to members that were cut off.
 //   - splits 21: a member that was reported dead after a partition healed was notified too late to refute.
@@ -53,7 +53,7 @@
 // Without any one rule of the protocol, a checker must find a violated property.
 TEST(FleetView, MutantsAreCaught) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "a mutant's storm of messages takes minutes with sanitizers; the Release tests play it";
+  GTEST_SKIP() << "a mutant's flood of messages takes minutes with sanitizers; the Release tests run it";
 #endif
   EXPECT_GT(CountViolations(LoadRehearsal("fleet-stall"), 1, 2, Mutant::kNeverRefutes), 0);
   EXPECT_GT(CountViolations(LoadRehearsal("fleet-leave"), 1, 2, Mutant::kOneBoot), 0);
