--- a/tests/system/golden_test.cpp
+++ b/tests/system/golden_test.cpp
@@ -13,15 +13,15 @@
 #include <sstream>
 
 #include "agreement/codec.hpp"
-#include "directory/codec.hpp"
 #include "fleet/message.hpp"
+#include "service_registry/codec.hpp"
 #include "system/message.hpp"
 
 namespace curlewdoor {
 namespace {
 
 constexpr char kFolder[] = CURLEWDOOR_TESTS_DIR "/system/golden/";
-const directory::Time kNow{std::chrono::hours(1000)};
+const service_registry::Time kNow{std::chrono::hours(1000)};
 
 // Reads bytes and gives what was read, written by this version; nullopt: can't be read.
 using Rewrite = std::function<std::optional<std::string>(const std::string&)>;
@@ -166,8 +166,8 @@
 }
 
 void AddHosts(std::vector<Sample>& samples) {
-  directory::Directory hosts;
-  directory::Beat beat;
+  service_registry::ServiceRegistry hosts;
+  service_registry::Heartbeat beat;
   beat.service = "ware";
   beat.zone = "lund";
   beat.slots = 2;
@@ -177,35 +177,36 @@
     beat.address = std::string("10.8.0.31:808") + id[2];
     hosts.Apply(kNow, beat);
   }
-  hosts.Apply(kNow, directory::Leave{"i-2"});
+  hosts.Apply(kNow, service_registry::Deregistration{"i-2"});
   const Rewrite rewrite = [](const std::string& bytes) -> std::optional<std::string> {
-    const auto entries = directory::Decode(bytes, kNow);
-    return entries ? std::optional(directory::Encode(*entries, kNow)) : std::nullopt;
+    const auto entries = service_registry::Decode(bytes, kNow);
+    return entries ? std::optional(service_registry::Encode(*entries, kNow)) : std::nullopt;
   };
-  std::vector<directory::Entry> entries = hosts.All();
+  std::vector<service_registry::HostEntry> entries = hosts.All();
   const std::vector<std::vector<std::size_t>> growing{{}, {1, 0}, {1, 2}};
-  samples.push_back({"hosts-stamped", directory::Encode(entries, kNow), rewrite, growing});
-  for (directory::Entry& entry : entries) entry.stamp = 0;  // as versions before watermarks told them
-  samples.push_back({"hosts", directory::Encode(entries, kNow), rewrite, growing});
+  samples.push_back({"hosts-stamped", service_registry::Encode(entries, kNow), rewrite, growing});
+  for (service_registry::HostEntry& entry : entries)
+    entry.stamp = 0;  // as versions before watermarks told them
+  samples.push_back({"hosts", service_registry::Encode(entries, kNow), rewrite, growing});
 }
 
 void AddFleet(std::vector<Sample>& samples) {
-  fleet::Message message;
+  fleet::GossipMessage message;
   message.sender.name = "lund-1";
   message.sender.boot = 1'700'000'000'000;
   message.sender.address = {0x0a08001f, 7200};
-  message.sender.about = "lund 0.4.0";
+  message.sender.metadata = "lund 0.4.0";
   message.sequence = 9;
-  message.view = 77;
+  message.fingerprint = 77;
   message.rumours.push_back(message.sender);
   message.rumours.back().name = "lund-2";
   const Rewrite rewrite = [](const std::string& bytes) -> std::optional<std::string> {
-    auto why = fleet::Drop::kNone;
+    auto why = fleet::DropReason::kNone;
     const auto read = fleet::Decode(bytes, "system", why);
     return read ? std::optional(fleet::Encode(*read, "system")) : std::nullopt;
   };
   for (std::uint8_t kind = 1; kind <= fleet::kLastKind; ++kind) {
-    message.kind = static_cast<fleet::Kind>(kind);
+    message.kind = static_cast<fleet::MessageKind>(kind);
     samples.push_back({"fleet-" + std::to_string(kind), fleet::Encode(message, "system"), rewrite, {}});
   }
 }
