--- a/cmake/system.cmake
+++ b/cmake/system.cmake
@@ -53,6 +53,6 @@
   endif()
 endfunction()
 
-foreach(package settings events policy directory registry agreement coordination storage choosing trying system systemkit)
+foreach(package settings events policy directory registry_replication agreement coordination storage load_balancing retry system systemkit)
   include(${CMAKE_CURRENT_SOURCE_DIR}/src/${package}/package.cmake OPTIONAL)
 endforeach()
--- a/src/app/handing.hpp
+++ b/src/app/handing.hpp
@@ -9,11 +9,11 @@
 #include "app/peers.hpp"
 #include "handover/protocol.hpp"
 #include "handover/snapshot.hpp"
+#include "host_overrides/host_overrides.hpp"
 #include "log/log.hpp"
 #include "net/handover_link.hpp"
 #include "net/listener.hpp"
 #include "net/upstream.hpp"
-#include "roster/by_hand.hpp"
 
 namespace curlewdoor::app {
 
@@ -26,7 +26,7 @@
     net::Listener& listener;
     net::Upstream& upstream;
     Core& core;
-    roster::ByHand& by_hand;
+    host_overrides::ByHand& by_hand;
     log::Logger& logger;
     std::function<void(handover::Kind kind, HostId host)> call_by_hand;  // made at the other process
     std::function<bool()> terminating;
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -188,17 +188,17 @@
 std::string Service::Answer(const admin::Bad& call) { return admin::No(call.reason); }
 
 std::string Service::AnswerByHand(handover::Kind kind, const std::string& name, std::string_view what) {
-  const HostId host = roster::HostOf(name);
+  const HostId host = host_overrides::HostOf(name);
   const auto answer = CallByHand(kind, host);
-  if (answer == roster::ByHand::Answer::kUnknown) return admin::No("unknown host");
-  if (answer == roster::ByHand::Answer::kTooMany) return admin::No("too many hosts are out by hand");
+  if (answer == host_overrides::ByHand::Answer::kUnknown) return admin::No("unknown host");
+  if (answer == host_overrides::ByHand::Answer::kTooMany) return admin::No("too many hosts are out by hand");
   logger_.Info("host {} {} by hand", name, what);
   handing_.Mirror(kind, host);
   return admin::Yes(what);
 }
 
 // The core is told before the answer is given: the yes binds from then on.
-roster::ByHand::Answer Service::CallByHand(handover::Kind kind, HostId host) {
+host_overrides::ByHand::Answer Service::CallByHand(handover::Kind kind, HostId host) {
   std::optional<MemberList> change;
   const auto answer =
       kind == handover::Kind::kSuspend ? by_hand_.Suspend(host, change) : by_hand_.Restore(host, change);
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -11,6 +11,7 @@
 #include "app/handing.hpp"
 #include "app/peers.hpp"
 #include "config/config.hpp"
+#include "host_overrides/host_overrides.hpp"
 #include "log/log.hpp"
 #include "net/admin_door.hpp"
 #include "net/counter.hpp"
@@ -21,7 +22,6 @@
 #include "net/socket_io.hpp"
 #include "net/uploads.hpp"
 #include "net/upstream.hpp"
-#include "roster/by_hand.hpp"
 
 namespace curlewdoor::app {
 
@@ -95,7 +95,7 @@
   std::string Answer(const admin::HandOver& call);
   std::string Answer(const admin::Bad& call);
   std::string AnswerByHand(handover::Kind kind, const std::string& name, std::string_view what);
-  roster::ByHand::Answer CallByHand(handover::Kind kind, HostId host);
+  host_overrides::ByHand::Answer CallByHand(handover::Kind kind, HostId host);
 
   // A new configuration: moves to its discovery and counter. A faulty one changes nothing.
   void OnHangUp();
@@ -118,7 +118,7 @@
   net::Counter counter_;
   net::Discovery discovery_;
   net::AdminDoor admin_;
-  roster::ByHand by_hand_;
+  host_overrides::ByHand by_hand_;
   const std::unique_ptr<Peers> peers_;  // where the configuration has `fleet`
   Handing handing_;
   net::Shutdown shutdown_;
--- a/src/console/storage_commands.cpp
+++ b/src/console/storage_commands.cpp
@@ -15,7 +15,7 @@
 #include "coordination/state_machine.hpp"
 #include "directory/codec.hpp"
 #include "policy/policy.hpp"
-#include "registry/record.hpp"
+#include "registry_replication/record.hpp"
 #include "storage/inspect.hpp"
 #include "system/json.hpp"
 #include "util/number.hpp"
@@ -64,7 +64,7 @@
 }
 
 bool AreLeaves(std::string_view bytes) {
-  const auto kept = registry::Decode(bytes);
+  const auto kept = registry_replication::Decode(bytes);
   return kept && AreHosts(kept->leaves);
 }
 
--- a/src/directory/directory.hpp
+++ b/src/directory/directory.hpp
@@ -10,11 +10,11 @@
 // other is gone; should it beat again, with a higher sequence, then the address is its own again.
 //
 // What is forgotten must not come back from a process that was stopped or cut off meanwhile. So each entry
-// bears a stamp: the registry's watermark (registry/watermark.hpp) when a beat of that life was read last, or
-// when a list with it was proved. An id that isn't known is taken only if its stamp is at most kValidPeriods
-// behind the watermark here, and an entry whose stamp falls further behind is dropped. A life that has said
-// that it leaves is kept until every claim of it is too old in that sense: docs/registry.md, "What is
-// forgotten".
+// bears a stamp: the registry's watermark (registry_replication/watermark.hpp) when a beat of that life was
+// read last, or when a list with it was proved. An id that isn't known is taken only if its stamp is at most
+// kValidPeriods behind the watermark here, and an entry whose stamp falls further behind is dropped. A life
+// that has said that it leaves is kept until every claim of it is too old in that sense: docs/registry.md,
+// "What is forgotten".
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
--- a/src/roster/by_hand.cpp
+++ b/src/host_overrides/host_overrides.cpp
@@ -1,11 +1,11 @@
-#include "roster/by_hand.hpp"
+#include "host_overrides/host_overrides.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "util/hash.hpp"
 
-namespace curlewdoor::roster {
+namespace curlewdoor::host_overrides {
 
 HostId HostOf(std::string_view uid) { return HostId{StableHash(uid)}; }
 
@@ -81,4 +81,4 @@
     if (out_.size() < kMostOut) out_.insert(host);
 }
 
-}  // namespace curlewdoor::roster
+}  // namespace curlewdoor::host_overrides
--- a/src/roster/by_hand.hpp
+++ b/src/host_overrides/host_overrides.hpp
@@ -10,7 +10,7 @@
 
 #include "members/members.hpp"
 
-namespace curlewdoor::roster {
+namespace curlewdoor::host_overrides {
 
 HostId HostOf(std::string_view uid);  // as the list of hosts names it
 
@@ -47,4 +47,4 @@
   std::vector<HostId> left_;  // the latest last
 };
 
-}  // namespace curlewdoor::roster
+}  // namespace curlewdoor::host_overrides
--- a/src/choosing/choosing.cpp
+++ b/src/load_balancing/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "choosing/choosing.hpp"
+#include "load_balancing/load_balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include "util/hash.hpp"
 #include "util/seconds.hpp"
 
-namespace curlewdoor::choosing {
+namespace curlewdoor::load_balancing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -159,4 +159,4 @@
   return views;
 }
 
-}  // namespace curlewdoor::choosing
+}  // namespace curlewdoor::load_balancing
--- a/src/choosing/choosing.hpp
+++ b/src/load_balancing/load_balancer.hpp
@@ -15,7 +15,7 @@
 
 #include "logic.hpp"
 
-namespace curlewdoor::choosing {
+namespace curlewdoor::load_balancing {
 
 struct Host {
   HostId id;
@@ -94,4 +94,4 @@
   int out_ = 0;
 };
 
-}  // namespace curlewdoor::choosing
+}  // namespace curlewdoor::load_balancing
--- a/src/registry/lease.cpp
+++ b/src/registry_replication/lease.cpp
@@ -1,11 +1,11 @@
-#include "registry/lease.hpp"
+#include "registry_replication/lease.hpp"
 
 #include <algorithm>
 #include <functional>
 #include <utility>
 #include <vector>
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 using std::chrono::milliseconds;
 
@@ -77,4 +77,4 @@
   return now - *proved_at_;
 }
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/lease.hpp
+++ b/src/registry_replication/lease.hpp
@@ -15,9 +15,9 @@
 #include <map>
 #include <optional>
 
-#include "registry/votes.hpp"
+#include "registry_replication/votes.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
@@ -69,4 +69,4 @@
   bool long_away_ = false;  // since the last proof
 };
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/record.cpp
+++ b/src/registry_replication/record.cpp
@@ -1,4 +1,4 @@
-#include "registry/record.hpp"
+#include "registry_replication/record.hpp"
 
 #include <cstdint>
 #include <exception>
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 namespace {
 
 constexpr std::uint8_t kFormat = 1;
@@ -70,4 +70,4 @@
   }
 }
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/record.hpp
+++ b/src/registry_replication/record.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "registry/replica.hpp"
+#include "registry_replication/replica.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 struct KeptRegistry {
   ReplicaRecord record{};
@@ -18,4 +18,4 @@
 // Never throws: nullopt if the bytes are cut, foreign or of a later format.
 std::optional<KeptRegistry> Decode(std::string_view bytes);
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/replica.cpp
+++ b/src/registry_replication/replica.cpp
@@ -1,9 +1,9 @@
-#include "registry/replica.hpp"
+#include "registry_replication/replica.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 void RegistryReplica::Restore(const ReplicaRecord& record) {
   written_ = record;
@@ -86,4 +86,4 @@
   return standing;
 }
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/replica.hpp
+++ b/src/registry_replication/replica.hpp
@@ -25,9 +25,9 @@
 #include <string>
 #include <vector>
 
-#include "registry/votes.hpp"
+#include "registry_replication/votes.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 // What lasts over a restart, beside the leaves themselves.
 struct ReplicaRecord {
@@ -92,4 +92,4 @@
   ReplicaRecord written_;
 };
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/votes.cpp
+++ b/src/registry_replication/votes.cpp
@@ -1,8 +1,8 @@
-#include "registry/votes.hpp"
+#include "registry_replication/votes.hpp"
 
 #include <algorithm>
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 bool Roster::Holds(const MemberId& member) const {
   return std::find(members.begin(), members.end(), member) != members.end();
@@ -27,4 +27,4 @@
   return names;
 }
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/votes.hpp
+++ b/src/registry_replication/votes.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 // A machine and its incarnation: a wiped disk is another member.
 struct MemberId {
@@ -37,7 +37,7 @@
   std::uint64_t epoch = 0;           // the newest that it has adopted, on disk: it votes in no older one
   std::uint64_t complete_epoch = 0;  // it holds on disk all leaves acknowledged in epochs before this one
   bool votes = false;                // in `epoch`: it is in that roster and complete
-  std::uint64_t watermark = 0;       // on disk (registry/watermark.hpp)
+  std::uint64_t watermark = 0;       // on disk (registry_replication/watermark.hpp)
 };
 
 // Who holds one leave.
@@ -58,4 +58,4 @@
   std::set<Vote> votes_;  // at most one a member and epoch
 };
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/watermark.cpp
+++ b/src/registry_replication/watermark.cpp
@@ -1,8 +1,8 @@
-#include "registry/watermark.hpp"
+#include "registry_replication/watermark.hpp"
 
 #include <algorithm>
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 bool Watermark::Adopt(Time now, std::uint64_t value) {
   if (value <= value_) return false;
@@ -27,4 +27,4 @@
   return Adopt(now, value_ + 1);
 }
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/registry/watermark.hpp
+++ b/src/registry_replication/watermark.hpp
@@ -7,18 +7,18 @@
 //
 // A member raises it once a majority of the epoch's members, voting, hold the present one on disk and the
 // period has passed here. So no watermark is anywhere that is more than one above what a majority holds, and
-// a proof by a majority's answers (registry/lease.hpp) names the one that a majority held, or a higher one.
-// Nothing rests on who raises it, how many do, or whose clock says that the period has passed; a fast clock
-// makes periods shorter. Everyone takes over a higher one from whoever names it.
+// a proof by a majority's answers (registry_replication/lease.hpp) names the one that a majority held, or a
+// higher one. Nothing rests on who raises it, how many do, or whose clock says that the period has passed; a
+// fast clock makes periods shorter. Everyone takes over a higher one from whoever names it.
 #pragma once
 
 #include <chrono>
 #include <cstdint>
 #include <map>
 
-#include "registry/votes.hpp"
+#include "registry_replication/votes.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 class Watermark {
  public:
@@ -43,4 +43,4 @@
   std::map<MemberId, Standing> held_;  // of the roster's members, as they answered last
 };
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/src/trying/attempt.cpp
+++ b/src/retry/attempt.cpp
@@ -1,6 +1,6 @@
-#include "trying/attempt.hpp"
+#include "retry/attempt.hpp"
 
-namespace curlewdoor::trying {
+namespace curlewdoor::retry {
 namespace {
 
 using Kind = AttemptEvent::Kind;
@@ -69,7 +69,7 @@
 }
 
 Next Course::Follow(const Ending& ending, bool budget, bool time) {
-  return trying::Follow(record_, ending, budget, time);
+  return retry::Follow(record_, ending, budget, time);
 }
 
-}  // namespace curlewdoor::trying
+}  // namespace curlewdoor::retry
--- a/src/trying/attempt.hpp
+++ b/src/retry/attempt.hpp
@@ -7,9 +7,9 @@
 #include <cstdint>
 #include <optional>
 
-#include "trying/trying.hpp"
+#include "retry/retry.hpp"
 
-namespace curlewdoor::trying {
+namespace curlewdoor::retry {
 
 enum class AttemptState : std::uint8_t {
   kNone,      // none is out: before the first, or the last one has ended
@@ -76,4 +76,4 @@
   AttemptState state_ = AttemptState::kNone;
 };
 
-}  // namespace curlewdoor::trying
+}  // namespace curlewdoor::retry
--- a/src/trying/trying.cpp
+++ b/src/retry/retry.cpp
@@ -1,11 +1,11 @@
-#include "trying/trying.hpp"
+#include "retry/retry.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 #include "util/seconds.hpp"
 
-namespace curlewdoor::trying {
+namespace curlewdoor::retry {
 namespace {
 
 constexpr double kSafe = 0.7;        // of what the rule allows: gateways come and go, and windows slide
@@ -96,4 +96,4 @@
   level_ -= 1;
 }
 
-}  // namespace curlewdoor::trying
+}  // namespace curlewdoor::retry
--- a/src/trying/trying.hpp
+++ b/src/retry/retry.hpp
@@ -8,7 +8,7 @@
 
 #include "logic.hpp"
 
-namespace curlewdoor::trying {
+namespace curlewdoor::retry {
 
 enum class Verdict { kNotRun, kMayHaveRun, kRan };
 
@@ -74,4 +74,4 @@
   TimePoint at_;
 };
 
-}  // namespace curlewdoor::trying
+}  // namespace curlewdoor::retry
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -99,8 +99,9 @@
   std::string discovery_source = "self_register";
   std::string entry_mode = "virtual_ip";
   Time heartbeat = std::chrono::milliseconds(1500);  // above 0
-  // How often the registry's watermark rises (registry/watermark.hpp), and by that how long what has left is
-  // remembered: about nine of these. Above 0. The same on all machines; shorter ones are for rehearsals.
+  // How often the registry's watermark rises (registry_replication/watermark.hpp), and by that how long what
+  // has left is remembered: about nine of these. Above 0. The same on all machines; shorter ones are for
+  // rehearsals.
   Time registry_period = std::chrono::seconds(20);
   std::set<std::string> active_contracts;
   FaultTolerance fault_tolerance;
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -14,10 +14,10 @@
 namespace curlewdoor::system {
 namespace {
 
+using retry::Ending;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using trying::Ending;
-using How = trying::Ending::How;
+using How = retry::Ending::How;
 
 constexpr Duration kConnectTimeout =
     milliseconds(120);                                 // within a region: some round trips and a slot's turn
@@ -162,7 +162,7 @@
           ? Duration(route->timeout)
           : std::min<Duration>(route->timeout, milliseconds(std::min<std::uint64_t>(deadline, 86'400'000)));
   request.expires = request.arrived + left;
-  request.course = trying::Course(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
+  request.course = retry::Course(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
   request.rank =
       static_cast<int>(std::lower_bound(ranks_.begin(), ranks_.end(), route->priority) - ranks_.begin());
   if (!told.empty()) request.spent = pressure_.Spent(request.arrived, route->name, milliseconds(deadline));
@@ -297,7 +297,7 @@
 }
 
 void Front::Handle(const Input& input) {
-  using Kind = trying::AttemptEvent::Kind;
+  using Kind = retry::AttemptEvent::Kind;
   if (const auto* read = std::get_if<RequestRead>(&input)) return Begin(read->request.id);
   if (const auto* written = std::get_if<AttemptWritten>(&input))
     return Hear(written->attempt, Kind::kAllSent);
@@ -311,9 +311,9 @@
 }
 
 // Not by way of Post(): nothing that ends the attempt may be judged before this is known.
-void Front::OnBytesSent(const AttemptId& attempt) { Hear(attempt, trying::AttemptEvent::Kind::kBytesSent); }
+void Front::OnBytesSent(const AttemptId& attempt) { Hear(attempt, retry::AttemptEvent::Kind::kBytesSent); }
 
-void Front::Hear(const AttemptId& attempt, trying::AttemptEvent::Kind kind) {
+void Front::Hear(const AttemptId& attempt, retry::AttemptEvent::Kind kind) {
   Request* request = Find(attempt.request);
   if (request == nullptr) return;
   const auto ending = request->course.Take({kind, attempt.number, {}});
@@ -324,7 +324,7 @@
   Request* request = Find(answered.attempt.request);
   const http::Message* message = upstream_.current_answer();
   if (request == nullptr || message == nullptr) return;
-  trying::HostAnswer answer{.status = answered.status, .not_run = answered.not_processed};
+  retry::HostAnswer answer{.status = answered.status, .not_run = answered.not_processed};
   answer.bound = message->Find(kAttemptIdHeader) == request->wire_id;
   // One without a length is done when its connection ends in order: a reset breaks the attempt, or the
   // stream.
@@ -332,14 +332,14 @@
   // One that was coded is not the host's.
   answer.sealed = !message->Find(kSealHeader).empty() && !message->Has("Content-Encoding");
   const auto ending =
-      request->course.Take({trying::AttemptEvent::Kind::kAnswered, answered.attempt.number, answer});
+      request->course.Take({retry::AttemptEvent::Kind::kAnswered, answered.attempt.number, answer});
   if (ending) EndAttempt(*request, *ending, message);
 }
 
 // The attempt that is out, if one is: its connection is closed, so that a late answer reaches nobody.
-void Front::GiveUp(Request& request, choosing::End end) {
+void Front::GiveUp(Request& request, load_balancing::End end) {
   const AttemptId attempt{request.id, request.course.attempt()};
-  if (!request.course.Take({trying::AttemptEvent::Kind::kGivenUp, attempt.number, {}})) return;
+  if (!request.course.Take({retry::AttemptEvent::Kind::kGivenUp, attempt.number, {}})) return;
   request.service->chooser.Ended(Now(), request.host, end, 0);
   upstream_.Drop(attempt);
 }
@@ -348,7 +348,7 @@
   const TimePoint now = Now();
   Service& service = *request.service;
   const double latency = Seconds(now - request.sent), mean = Mean(request);
-  using choosing::End;
+  using load_balancing::End;
   End end = End::kFailed;
   if (ending.how == How::kNoConnect) end = End::kNoConnect;
   if (ending.how == How::kTimedOut) end = End::kFailed;
@@ -371,10 +371,10 @@
                 service.name + " host " + request.instance + " how " +
                     std::to_string(static_cast<int>(ending.how)) + " status " +
                     std::to_string(ending.status) +
-                    (ending.sent == trying::Sent::kAll ? " written" : " not written"));
+                    (ending.sent == retry::Sent::kAll ? " written" : " not written"));
   const bool time = now + FromSeconds(mean / 2) < request.expires;
   switch (request.course.Follow(ending, service.budget.Covers(now), time)) {
-    case trying::Next::kPass: {
+    case retry::Next::kPass: {
       const RequestId id = request.id;
       ++figures_.passed;
       Forget(request);
@@ -385,12 +385,12 @@
       }
       return Deliver(id, *answer);
     }
-    case trying::Next::kAgain:
+    case retry::Next::kAgain:
       ++figures_.again;
-      if (trying::Arrived(ending)) service.budget.Spend(now);
+      if (retry::Arrived(ending)) service.budget.Spend(now);
       return Dispatch(request);
-    case trying::Next::kDecline:
-    case trying::Next::kFail:
+    case retry::Next::kDecline:
+    case retry::Next::kFail:
       return Conclude(request, ComeBack(request), 502);
   }
 }
@@ -428,7 +428,7 @@
   Request& request = it->second;
   ++figures_.left;
   if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-  GiveUp(request, choosing::End::kNothing);
+  GiveUp(request, load_balancing::End::kNothing);
   Forget(request);
 }
 
@@ -446,7 +446,7 @@
   const RequestId id = request.id;
   ++counts_.rejected;
   if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-  GiveUp(request, choosing::End::kNothing);
+  GiveUp(request, load_balancing::End::kNothing);
   Forget(request);
   Decline(id, 413, {}, kBodyTooLarge);
 }
@@ -486,7 +486,7 @@
       ++figures_.expired;
       Request& request = it->second;
       if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-      GiveUp(request, choosing::End::kFailed);
+      GiveUp(request, load_balancing::End::kFailed);
       Conclude(request, milliseconds(50), 504);
     }
   });
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -14,18 +14,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "choosing/choosing.hpp"
 #include "counting/pressure.hpp"
 #include "directory/by_service.hpp"
+#include "load_balancing/load_balancer.hpp"
 #include "logic/leases.hpp"
 #include "net/door.hpp"
 #include "net/uploads.hpp"
 #include "net/upstream.hpp"
 #include "policy/policy.hpp"
 #include "policy/split_sequence.hpp"
-#include "registry/lease.hpp"
+#include "registry_replication/lease.hpp"
+#include "retry/attempt.hpp"
 #include "settings/settings.hpp"
-#include "trying/attempt.hpp"
 #include "util/hash.hpp"
 
 namespace curlewdoor::system {
@@ -39,7 +39,7 @@
   // Whether what is known here may be gone by: the list of hosts, and the configuration in force. Empty:
   // always.
   struct Knowledge {
-    const registry::RegistryLease* hosts = nullptr;
+    const registry_replication::RegistryLease* hosts = nullptr;
     std::function<bool()> config_is_current{};
   };
   Front(struct ev_loop* loop, const settings::NodeSettings& settings, net::Descriptors& descriptors,
@@ -89,8 +89,8 @@
 
   struct Service {
     std::string name;
-    choosing::Chooser chooser;
-    trying::Budget budget;
+    load_balancing::Chooser chooser;
+    retry::Budget budget;
     std::map<std::string, double> means;  // seconds that answers take, by route
     bool known = true;
   };
@@ -100,7 +100,7 @@
     const policy::Route* route = nullptr;
     Service* service = nullptr;
     std::string tenant, wire_id;
-    trying::Course course;  // of its attempts at hosts
+    retry::Course course;  // of its attempts at hosts
     Leases::Claim claim;
     bool held_open = false;  // its customer's `open` counts it
     Duration spent{};        // that its client has waited already
@@ -163,9 +163,9 @@
   void Run(Do&& act);  // and all that is posted meanwhile
   void Handle(const Input& input);
   Request* Find(RequestId id);
-  void Hear(const AttemptId& attempt, trying::AttemptEvent::Kind kind);
+  void Hear(const AttemptId& attempt, retry::AttemptEvent::Kind kind);
   void HearAnswer(const AttemptAnswered& answered);
-  void GiveUp(Request& request, choosing::End end);
+  void GiveUp(Request& request, load_balancing::End end);
   void RefuseBody(Request& request);  // longer than its configuration allows
   void Begin(RequestId id);
   void Dispatch(Request& request);
@@ -175,8 +175,8 @@
     return MaySendNow() && (!knowledge_.config_is_current || knowledge_.config_is_current());
   }
   void TakeIn(RequestId id, TimePoint arrived);
-  static registry::Time RegistryNow() { return std::chrono::steady_clock::now(); }
-  void EndAttempt(Request& request, const trying::Ending& ending, const http::Message* answer);
+  static registry_replication::Time RegistryNow() { return std::chrono::steady_clock::now(); }
+  void EndAttempt(Request& request, const retry::Ending& ending, const http::Message* answer);
   void Conclude(Request& request, Duration retry_after, int status);
   Duration ComeBack(const Request& request);
   void Forget(Request& request);
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -43,7 +43,7 @@
                    }),
       link_(loop, link_descriptors_, *this, LinkOptions(settings_), seed),
       watermark_(std::max(settings_.registry_period, settings_.heartbeat)),
-      registry_lease_(registry::RegistryLease::OptionsFor(settings_.bounds.drain)),
+      registry_lease_(registry_replication::RegistryLease::OptionsFor(settings_.bounds.drain)),
       feed_(FeedOptions(settings_)),
       front_(
           loop, settings_, front_descriptors_, rng_(),
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -21,9 +21,9 @@
 #include "directory/heartbeat_targets.hpp"
 #include "fleet/machine.hpp"
 #include "net/fleet_link.hpp"
-#include "registry/lease.hpp"
-#include "registry/replica.hpp"
-#include "registry/watermark.hpp"
+#include "registry_replication/lease.hpp"
+#include "registry_replication/replica.hpp"
+#include "registry_replication/watermark.hpp"
 #include "settings/settings.hpp"
 #include "storage/storage.hpp"
 #include "system/call_door.hpp"
@@ -67,7 +67,7 @@
     Steady ends, again;
     std::string batch;
     std::vector<std::uint64_t> streams;  // that it went out on
-    registry::HolderVotes votes;
+    registry_replication::HolderVotes votes;
   };
   // An answer that is owed once the disk holds a leave; stream 0: to a replication of this process.
   struct OwedVote {
@@ -183,7 +183,7 @@
   void KeepLeaves();
   void OnLeavesKept(bool ok);
   void AnswerVotes(const std::vector<OwedVote>& owed);
-  std::string EncodeLeaves(const registry::ReplicaRecord& record) const;
+  std::string EncodeLeaves(const registry_replication::ReplicaRecord& record) const;
   void RestoreLeaves(const std::string& bytes);
   void TickLease();
   void OnProof();
@@ -191,8 +191,8 @@
   void OnWatermark();
   void ConfirmHosts();
   void TellCompleteMembers();
-  registry::Roster RegistryRoster() const;
-  registry::Standing OwnStanding() const;
+  registry_replication::Roster RegistryRoster() const;
+  registry_replication::Standing OwnStanding() const;
 
   // Core.
   void OpenCore();
@@ -317,12 +317,12 @@
 
   PauseWatch pause_watch_{Now()};
   PauseWatch call_pause_watch_{Now(), kCallPause, kCallPauseDrained};  // of applications' calls
-  registry::Watermark watermark_;
-  registry::RegistryLease registry_lease_;
-  std::optional<registry::RegistryReplica> registry_replica_;  // of a process with a core
-  std::vector<OwedVote> owed_votes_, votes_being_kept_;        // the latter: with the write under way
-  std::optional<registry::ReplicaRecord> record_being_kept_;   // of the write under way
-  bool registry_proved_ = false;                               // as the log says
+  registry_replication::Watermark watermark_;
+  registry_replication::RegistryLease registry_lease_;
+  std::optional<registry_replication::RegistryReplica> registry_replica_;  // of a process with a core
+  std::vector<OwedVote> owed_votes_, votes_being_kept_;  // the latter: with the write under way
+  std::optional<registry_replication::ReplicaRecord> record_being_kept_;  // of the write under way
+  bool registry_proved_ = false;                                          // as the log says
   std::uint64_t leaves_acknowledged_ = 0, leaves_not_acknowledged_ = 0;
 
   std::optional<CoordinationHost> coordination_;  // of a process with a core
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -108,7 +108,7 @@
   OpenFounding(std::move(founding));
   record_being_kept_.reset();
   votes_being_kept_.clear();
-  registry_replica_.emplace(registry::MemberId{settings_.node_name, disk_});
+  registry_replica_.emplace(registry_replication::MemberId{settings_.node_name, disk_});
   if (const auto leaves = known && read ? storage_->Read(kLeavesKey) : std::nullopt) RestoreLeaves(*leaves);
   registry_replica_->Adopt(Now(), RegistryRoster());
   registry_lease_.SetRoster(RegistryRoster());
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -1,9 +1,9 @@
 // Node: a host's leave is acknowledged once a majority of the core holds it, and requests are sent by a list
-// that a majority has proved. registry/ decides; here it is carried out.
+// that a majority has proved. registry_replication/ decides; here it is carried out.
 #include <utility>
 
 #include "directory/codec.hpp"
-#include "registry/record.hpp"
+#include "registry_replication/record.hpp"
 #include "system/node.hpp"
 #include "system/node_limits.hpp"
 
@@ -11,15 +11,15 @@
 namespace {
 
 template <typename Answer>
-registry::Standing StandingOf(const Link::Stream& stream, const Answer& answer) {
+registry_replication::Standing StandingOf(const Link::Stream& stream, const Answer& answer) {
   return {
       {stream.name, answer.incarnation}, answer.epoch, answer.complete_epoch, answer.votes, answer.watermark};
 }
 
 }  // namespace
 
-registry::Roster Node::RegistryRoster() const {
-  registry::Roster roster{epoch_, {}};
+registry_replication::Roster Node::RegistryRoster() const {
+  registry_replication::Roster roster{epoch_, {}};
   for (const CoreMember& member : members_) roster.members.push_back({member.name, member.disk});
   return roster;
 }
@@ -28,13 +28,13 @@
 void Node::TellCompleteMembers() {
   if (!core_ || !registry_replica_) return;
   std::vector<agreement::Life> complete;
-  for (const registry::MemberId& member : registry_replica_->CompleteMembers())
+  for (const registry_replication::MemberId& member : registry_replica_->CompleteMembers())
     complete.push_back({member.name, member.incarnation});
   core_->SetComplete(registry_replica_->epoch(), std::move(complete));
 }
 
-registry::Standing Node::OwnStanding() const {
-  return registry_replica_ ? registry_replica_->standing() : registry::Standing{};
+registry_replication::Standing Node::OwnStanding() const {
+  return registry_replica_ ? registry_replica_->standing() : registry_replication::Standing{};
 }
 
 // ---- Calls of hosts -----------------------------------------------------------------------------------
@@ -142,7 +142,7 @@
 void Node::KeepLeaves() {
   if (!registry_replica_ || record_being_kept_) return;
   if (owed_votes_.empty() && !registry_replica_->Dirty()) return;
-  const registry::ReplicaRecord record = registry_replica_->Record();
+  const registry_replication::ReplicaRecord record = registry_replica_->Record();
   if (!storage_ || !storage_->Write(kLeavesWrite, {{kLeavesKey, EncodeLeaves(record)}})) return;
   record_being_kept_ = record;
   votes_being_kept_ = std::exchange(owed_votes_, {});
@@ -150,7 +150,7 @@
 
 void Node::OnLeavesKept(bool ok) {
   if (!record_being_kept_) return;
-  const registry::ReplicaRecord record = *std::exchange(record_being_kept_, std::nullopt);
+  const registry_replication::ReplicaRecord record = *std::exchange(record_being_kept_, std::nullopt);
   const auto owed = std::exchange(votes_being_kept_, {});
   if (!ok) return;  // they are sent again by whoever waits for them
   registry_replica_->OnWritten(record);
@@ -160,7 +160,7 @@
 }
 
 void Node::AnswerVotes(const std::vector<OwedVote>& owed) {
-  const registry::Standing own = OwnStanding();
+  const registry_replication::Standing own = OwnStanding();
   for (const OwedVote& vote : owed) {
     if (vote.stream == 0) {
       const auto it = replications_.find(vote.number);
@@ -181,16 +181,16 @@
                                std::to_string(owed.size()));
 }
 
-std::string Node::EncodeLeaves(const registry::ReplicaRecord& record) const {
+std::string Node::EncodeLeaves(const registry_replication::ReplicaRecord& record) const {
   std::vector<directory::Entry> leaves;
   directory_.ForEach([&](const directory::Entry& entry) {
     if (entry.leaves()) leaves.push_back(entry);
   });
-  return registry::Encode({record, directory::Encode(leaves, Now())});
+  return registry_replication::Encode({record, directory::Encode(leaves, Now())});
 }
 
 void Node::RestoreLeaves(const std::string& bytes) {
-  const auto kept = registry::Decode(bytes);
+  const auto kept = registry_replication::Decode(bytes);
   const auto leaves = kept ? directory::Decode(kept->leaves, Now()) : std::nullopt;
   if (!leaves) {
     // As if it had begun anew: it votes once it has learned from the others what it forgot.
@@ -206,7 +206,7 @@
   if (!core_) return;
   if (told_hosts_ != directory_.version()) PublishHosts();
   if (message.epoch < epoch_) stream.Send(Encode(MembersNow()));
-  const registry::Standing own = OwnStanding();
+  const registry_replication::Standing own = OwnStanding();
   stream.Send(Encode(RegistryAnswer{message.asked_us, own.member.incarnation, own.epoch, own.complete_epoch,
                                     own.votes, own.watermark}));
 }
@@ -215,7 +215,7 @@
 
 void Node::Handle(Link::Stream& stream, RegistryAnswer& message) {
   RaiseWatermark(message.watermark);
-  const registry::Standing standing = StandingOf(stream, message);
+  const registry_replication::Standing standing = StandingOf(stream, message);
   const Steady asked{std::chrono::microseconds(message.asked_us)};
   registry_lease_.OnAnswer(Now(), asked, standing);
   if (registry_replica_) {
@@ -228,7 +228,7 @@
 void Node::TickLease() {
   const Steady now = Now();
   const bool due = registry_lease_.Tick(now);
-  const registry::Standing own = OwnStanding();
+  const registry_replication::Standing own = OwnStanding();
   TellCompleteMembers();
   if (own.votes) registry_lease_.OnAnswer(now, now, own);
   ConfirmHosts();
--- a/src/system/package.cmake
+++ b/src/system/package.cmake
@@ -13,9 +13,9 @@
 target_include_directories(curlewdoor_node SYSTEM PRIVATE ${MSGPACK})
 target_compile_definitions(curlewdoor_node PRIVATE MSGPACK_NO_BOOST)
 target_link_libraries(curlewdoor_node PUBLIC curlewdoor_net curlewdoor_settings curlewdoor_events curlewdoor_policy
-                                             curlewdoor_directory curlewdoor_registry curlewdoor_agreement curlewdoor_coordination
+                                             curlewdoor_directory curlewdoor_registry_replication curlewdoor_agreement curlewdoor_coordination
                                              curlewdoor_storage
-                                             curlewdoor_choosing curlewdoor_trying curlewdoor_fleet
+                                             curlewdoor_load_balancing curlewdoor_retry curlewdoor_fleet
                                       PRIVATE ${CJSON})
 
 include(${CMAKE_SOURCE_DIR}/src/console/package.cmake)
--- a/tests/check_lengths_test.sh
+++ b/tests/check_lengths_test.sh
@@ -4,10 +4,10 @@
 here=$(cd "$(dirname "$0")" && pwd)
 place=$(mktemp -d)
 trap 'rm -rf "$place"' EXIT
-mkdir -p "$place"/src/{agreement,console,coordination,registry,storage,system}
+mkdir -p "$place"/src/{agreement,console,coordination,registry_replication,storage,system}
 seq 600 >"$place/src/system/whole.cpp"
 "$here/check_lengths.sh" "$place" | grep -q 'no file'
-for folder in agreement console coordination registry storage system; do
+for folder in agreement console coordination registry_replication storage system; do
   seq 601 >"$place/src/$folder/long.hpp"
   if output=$("$here/check_lengths.sh" "$place" 2>&1); then
     echo "FAILED: 601 lines in $folder pass"
--- a/tests/roster_test.cpp
+++ b/tests/host_overrides_test.cpp
@@ -1,9 +1,9 @@
 // Hosts out by hand: they stay out whatever discovery says, until the call back.
-#include <gtest/gtest.h>
+#include "host_overrides/host_overrides.hpp"
 
-#include "roster/by_hand.hpp"
+#include <gtest/gtest.h>
 
-namespace curlewdoor::roster {
+namespace curlewdoor::host_overrides {
 namespace {
 
 Member Host(const std::string& uid, HostState state = HostState::kReady, std::uint16_t port = 1) {
@@ -85,4 +85,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::roster
+}  // namespace curlewdoor::host_overrides
--- a/tests/choosing/choosing_test.cpp
+++ b/tests/load_balancing/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-#include "choosing/choosing.hpp"
+#include "load_balancing/load_balancer.hpp"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 #include <set>
 #include <vector>
 
-namespace curlewdoor::choosing {
+namespace curlewdoor::load_balancing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -293,4 +293,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::choosing
+}  // namespace curlewdoor::load_balancing
--- a/tests/registry/registry_search_test.cpp
+++ b/tests/registry_replication/registry_search_test.cpp
@@ -11,11 +11,11 @@
 #include <random>
 #include <set>
 
-#include "registry/lease.hpp"
-#include "registry/replica.hpp"
-#include "short_agreement.hpp"
+#include "registry_replication/lease.hpp"
+#include "registry_replication/replica.hpp"
+#include "simulated_agreement.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 namespace {
 
 using namespace std::chrono_literals;
@@ -450,4 +450,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry_replication/registry_test.cpp
@@ -2,12 +2,12 @@
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 
-#include "registry/lease.hpp"
-#include "registry/record.hpp"
-#include "registry/replica.hpp"
-#include "registry/watermark.hpp"
+#include "registry_replication/lease.hpp"
+#include "registry_replication/record.hpp"
+#include "registry_replication/replica.hpp"
+#include "registry_replication/watermark.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 namespace {
 
 using namespace std::chrono_literals;
@@ -338,4 +338,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/tests/registry/return_search_test.cpp
+++ b/tests/registry_replication/return_search_test.cpp
@@ -15,13 +15,13 @@
 
 #include "directory/codec.hpp"
 #include "directory/directory.hpp"
-#include "registry/lease.hpp"
-#include "registry/replica.hpp"
-#include "registry/watermark.hpp"
-#include "short_agreement.hpp"
+#include "registry_replication/lease.hpp"
+#include "registry_replication/replica.hpp"
+#include "registry_replication/watermark.hpp"
+#include "simulated_agreement.hpp"
 #include "system/pause_watch.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 namespace {
 
 using namespace std::chrono_literals;
@@ -597,4 +597,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/tests/registry/short_agreement.hpp
+++ b/tests/registry_replication/simulated_agreement.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <utility>
 
-#include "registry/replica.hpp"
+#include "registry_replication/replica.hpp"
 
-namespace curlewdoor::registry {
+namespace curlewdoor::registry_replication {
 
 // `Machine` has incarnation, up, known and core_disk (rosters), sealed and replica; the first `count` of the
 // machines may be members.
@@ -116,4 +116,4 @@
   return {most + 1, {}};
 }
 
-}  // namespace curlewdoor::registry
+}  // namespace curlewdoor::registry_replication
--- a/tests/trying/attempt_model_test.cpp
+++ b/tests/retry/attempt_model_test.cpp
@@ -11,9 +11,9 @@
 #include <tuple>
 #include <vector>
 
-#include "trying/attempt.hpp"
+#include "retry/attempt.hpp"
 
-namespace curlewdoor::trying {
+namespace curlewdoor::retry {
 namespace {
 
 using Kind = AttemptEvent::Kind;
@@ -324,4 +324,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::trying
+}  // namespace curlewdoor::retry
--- a/tests/trying/trying_test.cpp
+++ b/tests/retry/retry_test.cpp
@@ -1,4 +1,4 @@
-#include "trying/trying.hpp"
+#include "retry/retry.hpp"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -8,7 +8,7 @@
 
 #include "util/seconds.hpp"
 
-namespace curlewdoor::trying {
+namespace curlewdoor::retry {
 namespace {
 
 using std::chrono::microseconds;
@@ -216,4 +216,4 @@
 }
 
 }  // namespace
-}  // namespace curlewdoor::trying
+}  // namespace curlewdoor::retry
--- a/tests/tidy.sh
+++ b/tests/tidy.sh
@@ -6,7 +6,7 @@
 build=$(cd "$1" && pwd)
 shift
 files=("$@")
-[ ${#files[@]} -gt 0 ] || files=("$root"/src/{agreement,console,coordination,directory,policy,registry,storage,system}/*.cpp)
+[ ${#files[@]} -gt 0 ] || files=("$root"/src/{agreement,console,coordination,directory,policy,registry_replication,storage,system}/*.cpp)
 
 # g++'s options that clang doesn't know are no finding; standard error has the count of suppressed warnings.
 tidy() {
