--- a/src/load_balancing/load_balancer.cpp
+++ b/src/load_balancing/load_balancer.cpp
@@ -12,151 +12,166 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kStep = 0.15;  // least weight of one answer in a host's slowness; the first ones tell more
-constexpr double kMostSlow = 6, kLeastSlow = 0.2;
-constexpr double kSlowMemory = 10;  // seconds until what was learnt of a host not visited has faded
-constexpr double kFailStep = 0.1;   // weight of one attempt in a host's rate of failure
-constexpr double kFailWeight = 4;   // slowness put on a host by its rate of failure
-constexpr double kColdDelay = 1;    // put on a cold host
-constexpr double kMostCredit = 2;   // turns saved up or owed
-constexpr Duration kRestFirst = milliseconds(250);  // a failing host is left alone, doubling ...
-constexpr Duration kRestLongest = seconds(4);       // ... up to this
-constexpr Duration kRestFull = milliseconds(30);    // one that is full, so long
-constexpr int kRestAfter = 3;                       // failures in a row, where connections come up
-constexpr double kRestBound = 0.5;                  // of the hosts: when more fail at once, it isn't they
+// Least weight of a new latency in a host's slowness. The first answers weigh more, so that a slow host is
+// detected early.
+constexpr double kLatencySmoothing = 0.15;
+constexpr double kMaxSlowness = 6, kMinSlowness = 0.2;
+// Statistics of a host that receives no attempts decay by a factor of e in this many seconds.
+constexpr double kStatsDecaySeconds = 10;
+constexpr double kFailureSmoothing = 0.1;  // weight of one attempt in a host's failure rate
+constexpr double kFailureRateDelay = 4;    // delay added at a failure rate of 1
+constexpr double kSlowStartDelay = 1;      // delay added while a host is in slow start
+constexpr double kMaxCredit = 2;           // bound of the round-robin credit, positive and negative
+// A failing host is ejected for this long at first; the time doubles with each further failure.
+constexpr Duration kFirstEjection = milliseconds(250);
+constexpr Duration kMaxEjection = seconds(4);
+constexpr Duration kOverloadEjection = milliseconds(30);  // after a host has rejected a request as overloaded
+// Consecutive failures before a host is ejected to which connections can be established.
+constexpr int kFailuresBeforeEjection = 3;
+// When more than this share of the hosts is ejected, the cause is probably not the hosts and ejections are
+// ignored.
+constexpr double kMaxEjectedShare = 0.5;
 
 }  // namespace
 
-void Chooser::SetHosts(TimePoint, std::span<const Host> hosts) {
-  std::map<HostId, Known> next;
-  for (const Host& host : hosts) {
+void LoadBalancer::SetHosts(TimePoint, std::span<const BackendHost> hosts) {
+  std::map<HostId, TrackedHost> next;
+  for (const BackendHost& host : hosts) {
     const auto found = hosts_.find(host.id);
-    Known known = found != hosts_.end() ? found->second : Known{};
-    known.host = host;
-    if (found == hosts_.end()) known.credit = Fraction(rng_()) - 0.5;
-    next.emplace(host.id, std::move(known));
+    TrackedHost tracked = found != hosts_.end() ? found->second : TrackedHost{};
+    tracked.host = host;
+    if (found == hosts_.end()) tracked.credit = Fraction(rng_()) - 0.5;
+    next.emplace(host.id, std::move(tracked));
   }
-  out_ = 0;
-  for (const auto& [id, known] : next) out_ += known.out;
+  in_flight_ = 0;
+  for (const auto& [id, tracked] : next) in_flight_ += tracked.in_flight;
   hosts_.swap(next);
 }
 
-int Chooser::slots() const {
+int LoadBalancer::slots() const {
   int slots = 0;
-  for (const auto& [id, known] : hosts_) slots += known.host.slots;
+  for (const auto& [id, tracked] : hosts_) slots += tracked.host.slots;
   return slots;
 }
 
-std::vector<double> Aperture(std::size_t hosts, std::size_t index, std::size_t gateways) {
-  std::vector<double> own(hosts, 0);
-  if (hosts == 0 || gateways == 0) return own;
+std::vector<double> ApertureShares(std::size_t hosts, std::size_t index, std::size_t gateways) {
+  std::vector<double> shares(hosts, 0);
+  if (hosts == 0 || gateways == 0) return shares;
   const auto count = static_cast<double>(hosts);
   const double step = count / static_cast<double>(gateways);
   const double width = std::min(count, std::max(1.0, step)), begin = static_cast<double>(index) * step;
   for (std::size_t i = 0; i < hosts; ++i)
-    for (const double turn : {0.0, count}) {  // the part may go over the end of the ring
-      const double from = std::max(begin, static_cast<double>(i) + turn);
-      const double to = std::min(begin + width, static_cast<double>(i) + 1 + turn);
-      own[i] += std::max(0.0, to - from);
+    for (const double offset : {0.0, count}) {  // the aperture may wrap around the end of the ring
+      const double from = std::max(begin, static_cast<double>(i) + offset);
+      const double to = std::min(begin + width, static_cast<double>(i) + 1 + offset);
+      shares[i] += std::max(0.0, to - from);
     }
-  return own;
+  return shares;
 }
 
-double Chooser::Weight(TimePoint now, const Known& known) const {
-  const double faded = std::exp(-Seconds(now - known.slow_at) / kSlowMemory);
-  const double slowness =
-      std::max(kLeastSlow, 1 + (known.slowness - 1) * faded + kFailWeight * known.fails * faded);
-  const double slots = std::max(1, known.host.slots);
-  // What is out from here tells of what is out from everywhere: a queue begins before the slots are full.
-  double delay = slowness * (1 + known.out / slots);
-  if (!known.host.near) delay += options_.far_delay;
-  delay += options_.others_delay * (1 - std::min(1.0, known.host.own));
-  if (now < known.host.warm_at) delay += kColdDelay;
-  return slots * std::pow(delay, -options_.power);
+double LoadBalancer::Weight(TimePoint now, const TrackedHost& tracked) const {
+  const double decay = std::exp(-Seconds(now - tracked.updated_at) / kStatsDecaySeconds);
+  const double slowness = std::max(
+      kMinSlowness, 1 + (tracked.slowness - 1) * decay + kFailureRateDelay * tracked.failure_rate * decay);
+  const double slots = std::max(1, tracked.host.slots);
+  // The attempts in flight from this gateway are an estimate of the host's total load. They count before the
+  // slots are full, since other gateways use the same slots.
+  double delay = slowness * (1 + tracked.in_flight / slots);
+  if (!tracked.host.same_zone) delay += options_.cross_zone_delay;
+  delay += options_.outside_aperture_delay * (1 - std::min(1.0, tracked.host.aperture_share));
+  if (now < tracked.host.slow_start_until) delay += kSlowStartDelay;
+  return slots * std::pow(delay, -options_.delay_exponent);
 }
 
-std::optional<HostId> Chooser::Choose(TimePoint now, std::span<const HostId> tried) {
-  const auto was_tried = [&](HostId id) { return std::find(tried.begin(), tried.end(), id) != tried.end(); };
-  std::size_t resting = 0;
-  for (const auto& [id, known] : hosts_) resting += now < known.rest_until || known.host.silent;
-  // With more than half of them out the fault may be this machine's: then all are tried.
-  const bool heed_rest = static_cast<double>(resting) <= kRestBound * static_cast<double>(hosts_.size());
+std::optional<HostId> LoadBalancer::Choose(TimePoint now, std::span<const HostId> tried) {
+  const auto is_tried = [&](HostId id) { return std::find(tried.begin(), tried.end(), id) != tried.end(); };
+  std::size_t ejected = 0;
+  for (const auto& [id, tracked] : hosts_)
+    ejected += now < tracked.ejected_until || tracked.host.unresponsive;
+  // When more than half of the hosts are ejected, the fault may be on this machine: all hosts are candidates.
+  const bool skip_ejected =
+      static_cast<double>(ejected) <= kMaxEjectedShare * static_cast<double>(hosts_.size());
   double total = 0;
-  for (auto& [id, known] : hosts_)
-    if (!was_tried(id)) total += Weight(now, known);
+  for (auto& [id, tracked] : hosts_)
+    if (!is_tried(id)) total += Weight(now, tracked);
   if (total <= 0) return std::nullopt;
-  Known* best = nullptr;
+  TrackedHost* best = nullptr;
   double best_score = 0;
-  for (int pass = heed_rest ? 0 : 1; pass < 2 && best == nullptr; ++pass) {
-    for (auto& [id, known] : hosts_) {
-      if (was_tried(id)) continue;
-      const bool rests = now < known.rest_until || known.host.silent;
-      if (pass == 0 && rests) continue;
-      const double part = Weight(now, known) / total;
-      const double score = known.credit + part - (rests ? 1 : 0);
+  for (int pass = skip_ejected ? 0 : 1; pass < 2 && best == nullptr; ++pass) {
+    for (auto& [id, tracked] : hosts_) {
+      if (is_tried(id)) continue;
+      const bool is_ejected = now < tracked.ejected_until || tracked.host.unresponsive;
+      if (pass == 0 && is_ejected) continue;
+      const double weight_share = Weight(now, tracked) / total;
+      const double score = tracked.credit + weight_share - (is_ejected ? 1 : 0);
       if (best == nullptr || score > best_score) {
-        best = &known;
+        best = &tracked;
         best_score = score;
       }
     }
   }
   if (best == nullptr) return std::nullopt;
-  for (auto& [id, known] : hosts_) {
-    if (was_tried(id)) continue;
-    known.credit = std::min(kMostCredit, known.credit + Weight(now, known) / total);
+  for (auto& [id, tracked] : hosts_) {
+    if (is_tried(id)) continue;
+    tracked.credit = std::min(kMaxCredit, tracked.credit + Weight(now, tracked) / total);
   }
-  best->credit = std::max(-kMostCredit, best->credit - 1);
+  best->credit = std::max(-kMaxCredit, best->credit - 1);
   return best->host.id;
 }
 
-void Chooser::Started(HostId host) {
+void LoadBalancer::OnAttemptStart(HostId host) {
   const auto it = hosts_.find(host);
   if (it == hosts_.end()) return;
-  ++it->second.out;
-  ++out_;
+  ++it->second.in_flight;
+  ++in_flight_;
 }
 
-void Chooser::Ended(TimePoint now, HostId host, End how, double relative_latency) {
+void LoadBalancer::OnAttemptEnd(TimePoint now, HostId host, AttemptFeedback feedback,
+                                double relative_latency) {
   const auto it = hosts_.find(host);
   if (it == hosts_.end()) return;
-  Known& known = it->second;
-  if (known.out > 0) {
-    --known.out;
-    --out_;
+  TrackedHost& tracked = it->second;
+  if (tracked.in_flight > 0) {
+    --tracked.in_flight;
+    --in_flight_;
   }
-  if (how == End::kNothing) return;
-  const double faded = std::exp(-Seconds(now - known.slow_at) / kSlowMemory);
-  known.slowness = 1 + (known.slowness - 1) * faded;
-  known.fails *= faded;
-  known.slow_at = now;
-  if (how == End::kAnswered) {
-    known.trouble = 0;
-    known.rest_until = {};
-    known.fails -= kFailStep * known.fails;
+  if (feedback == AttemptFeedback::kCancelled) return;
+  const double decay = std::exp(-Seconds(now - tracked.updated_at) / kStatsDecaySeconds);
+  tracked.slowness = 1 + (tracked.slowness - 1) * decay;
+  tracked.failure_rate *= decay;
+  tracked.updated_at = now;
+  if (feedback == AttemptFeedback::kAnswered) {
+    tracked.consecutive_failures = 0;
+    tracked.ejected_until = {};
+    tracked.failure_rate -= kFailureSmoothing * tracked.failure_rate;
     if (relative_latency > 0) {
-      const double step = std::max(kStep, 1.0 / (2 + known.answers));
-      if (1.0 / (2 + known.answers) > kStep) ++known.answers;
-      known.slowness += step * (std::clamp(relative_latency, kLeastSlow, kMostSlow) - known.slowness);
+      const double step = std::max(kLatencySmoothing, 1.0 / (2 + tracked.latency_samples));
+      if (1.0 / (2 + tracked.latency_samples) > kLatencySmoothing) ++tracked.latency_samples;
+      tracked.slowness +=
+          step * (std::clamp(relative_latency, kMinSlowness, kMaxSlowness) - tracked.slowness);
     }
     return;
   }
-  if (how == End::kFull) {
-    known.rest_until = std::max(known.rest_until, now + kRestFull);
-    known.slowness += kStep * (std::min(kMostSlow, 2 * known.slowness) - known.slowness);
+  if (feedback == AttemptFeedback::kOverloaded) {
+    tracked.ejected_until = std::max(tracked.ejected_until, now + kOverloadEjection);
+    tracked.slowness += kLatencySmoothing * (std::min(kMaxSlowness, 2 * tracked.slowness) - tracked.slowness);
     return;
   }
-  known.fails += kFailStep * (1 - known.fails);
-  ++known.trouble;
-  const bool at_once = how == End::kNoConnect || how == End::kElsewhere;
-  const int over = known.trouble - (at_once ? 1 : kRestAfter);
-  if (over >= 0) known.rest_until = now + std::min(kRestLongest, kRestFirst * (1 << std::min(over, 5)));
+  tracked.failure_rate += kFailureSmoothing * (1 - tracked.failure_rate);
+  ++tracked.consecutive_failures;
+  const bool eject_at_once =
+      feedback == AttemptFeedback::kConnectFailed || feedback == AttemptFeedback::kWrongHost;
+  const int repeated = tracked.consecutive_failures - (eject_at_once ? 1 : kFailuresBeforeEjection);
+  if (repeated >= 0)
+    tracked.ejected_until = now + std::min(kMaxEjection, kFirstEjection * (1 << std::min(repeated, 5)));
 }
 
-std::vector<Chooser::View> Chooser::Look(TimePoint now) const {
-  std::vector<View> views;
-  for (const auto& [id, known] : hosts_)
-    views.push_back({id, known.slowness, known.out, now < known.rest_until || known.host.silent});
-  return views;
+std::vector<LoadBalancer::HostStats> LoadBalancer::Stats(TimePoint now) const {
+  std::vector<HostStats> stats;
+  for (const auto& [id, tracked] : hosts_)
+    stats.push_back(
+        {id, tracked.slowness, tracked.in_flight, now < tracked.ejected_until || tracked.host.unresponsive});
+  return stats;
 }
 
 }  // namespace curlewdoor::load_balancing
--- a/src/retry/attempt.cpp
+++ b/src/retry/attempt.cpp
@@ -4,34 +4,35 @@
 namespace {
 
 using Kind = AttemptEvent::Kind;
-using How = Ending::How;
+using Result = AttemptOutcome::Result;
 
-Sent SentIn(AttemptState state) {
+BytesSent BytesSentIn(AttemptState state) {
   switch (state) {
     case AttemptState::kNone:
     case AttemptState::kUnsent:
-      return Sent::kNothing;
+      return BytesSent::kNothing;
     case AttemptState::kPartSent:
-      return Sent::kPart;
+      return BytesSent::kPartial;
     case AttemptState::kSent:
-      return Sent::kAll;
+      return BytesSent::kAll;
   }
-  return Sent::kAll;
+  return BytesSent::kAll;
 }
 
-Ending Broken(AttemptState state) {
-  const Sent sent = SentIn(state);
-  return {.how = sent == Sent::kNothing ? How::kNoConnect : How::kBroken, .sent = sent};
+AttemptOutcome ConnectionLost(AttemptState state) {
+  const BytesSent sent = BytesSentIn(state);
+  return {.result = sent == BytesSent::kNothing ? Result::kConnectFailed : Result::kConnectionLost,
+          .sent = sent};
 }
 
-Ending Answered(AttemptState state, const HostAnswer& answer) {
-  if (state == AttemptState::kUnsent || !answer.bound) return Broken(state);
-  return {.how = How::kAnswered,
-          .sent = SentIn(state),
+AttemptOutcome AnsweredOutcome(AttemptState state, const HostAnswer& answer) {
+  if (state == AttemptState::kUnsent || !answer.matches_request) return ConnectionLost(state);
+  return {.result = Result::kAnswered,
+          .sent = BytesSentIn(state),
           .status = answer.status,
-          .not_run = answer.not_run,
+          .not_executed = answer.not_executed,
           .sealed = answer.sealed,
-          .whole = answer.whole};
+          .complete = answer.complete};
 }
 
 }  // namespace
@@ -43,33 +44,35 @@
       return {state == AttemptState::kUnsent ? AttemptState::kPartSent : state, std::nullopt};
     case Kind::kAllSent:
       return {AttemptState::kSent, std::nullopt};
-    case Kind::kBroken:
-      return {AttemptState::kNone, Broken(state)};
+    case Kind::kConnectionLost:
+      return {AttemptState::kNone, ConnectionLost(state)};
     case Kind::kAnswered:
-      return {AttemptState::kNone, Answered(state, event.answer)};
-    case Kind::kGivenUp:
-      return {AttemptState::kNone, Ending{.how = How::kTimedOut, .sent = SentIn(state)}};
+      return {AttemptState::kNone, AnsweredOutcome(state, event.answer)};
+    case Kind::kAbandoned:
+      return {AttemptState::kNone, AttemptOutcome{.result = Result::kTimedOut, .sent = BytesSentIn(state)}};
   }
   return {state, std::nullopt};
 }
 
-int Course::Begin() {
+int AttemptSequence::BeginAttempt() {
   state_ = AttemptState::kUnsent;
-  return record_.attempts++;
+  return history_.attempts++;
 }
 
-std::optional<Ending> Course::Take(const AttemptEvent& event) {
-  if (!out() || event.attempt != attempt()) return std::nullopt;
+std::optional<AttemptOutcome> AttemptSequence::OnEvent(const AttemptEvent& event) {
+  if (!in_progress() || event.attempt != attempt()) return std::nullopt;
   const Transition transition = Advance(state_, event);
   state_ = transition.state;
-  // Nothing follows on one that is given up; of the others Follow() judges.
-  const bool given_up = event.kind == Kind::kGivenUp;
-  if (given_up && Judge(*transition.ending) != Verdict::kNotRun) record_.may_have_run = true;
-  return transition.ending;
+  // No step follows an abandoned attempt, so its execution is recorded here. DecideNextStep() records the
+  // others.
+  const bool abandoned = event.kind == Kind::kAbandoned;
+  if (abandoned && ClassifyExecution(*transition.outcome) != Execution::kNotExecuted)
+    history_.may_have_executed = true;
+  return transition.outcome;
 }
 
-Next Course::Follow(const Ending& ending, bool budget, bool time) {
-  return retry::Follow(record_, ending, budget, time);
+NextStep AttemptSequence::DecideNextStep(const AttemptOutcome& outcome, bool budget_allows, bool time_left) {
+  return retry::DecideNextStep(history_, outcome, budget_allows, time_left);
 }
 
 }  // namespace curlewdoor::retry
--- a/src/retry/attempt.hpp
+++ b/src/retry/attempt.hpp
@@ -1,7 +1,7 @@
-// The state machine of one attempt, and of a client's try: all attempts together. Pure.
+// The state machine of one attempt, and the sequence of all attempts of a request. Pure.
 //
-// An attempt is one way to one host on one connection. Its events name it by its number, and those of another
-// one, late or early, change nothing. docs/control-attempts.md has every transition.
+// An attempt sends the request once, to one host on one connection. Events carry the number of their attempt;
+// late or early events of another attempt change nothing. docs/control-attempts.md lists every transition.
 #pragma once
 
 #include <cstdint>
@@ -12,67 +12,67 @@
 namespace curlewdoor::retry {
 
 enum class AttemptState : std::uint8_t {
-  kNone,      // none is out: before the first, or the last one has ended
-  kUnsent,    // on its way to a connection: no host can know of it
-  kPartSent,  // some bytes were given to the system, and its head or its body is not whole yet
-  kSent,      // all bytes were
+  kNone,      // no attempt is active: none has begun yet, or the last one has ended
+  kUnsent,    // waiting for a connection: no host can know of the attempt
+  kPartSent,  // some bytes were written to the socket; the request's head or body is not complete yet
+  kSent,      // all bytes were written
 };
 
-// A host's answer, as it stands on the attempt's connection.
+// A host's answer, as received on the attempt's connection.
 struct HostAnswer {
   int status = 0;
-  bool bound = false;  // it carries the request's own id
-  bool not_run = false;
+  bool matches_request = false;  // it carries the request's own ID
+  bool not_executed = false;
   bool sealed = false;
-  bool whole = false;  // its body is there, or comes in pieces of known length
+  bool complete = false;  // the body has arrived, or arrives in chunks of known length
 };
 
 struct AttemptEvent {
   enum class Kind : std::uint8_t {
-    kBytesSent,  // the first of its bytes were given to the system
+    kBytesSent,  // the first bytes were written to the socket
     kAllSent,
-    kBroken,    // no connection came up, or it was reset, closed or spoke no HTTP
-    kAnswered,  // also early, before all was sent
-    kGivenUp,   // by us: its time is over, or its client has gone; the connection is closed
+    kConnectionLost,  // no connection could be established, or it was reset, closed or did not speak HTTP
+    kAnswered,        // possibly before the whole request was sent
+    kAbandoned,       // by the gateway, on timeout or because the client left; the connection is closed
   };
-  Kind kind = Kind::kBroken;
+  Kind kind = Kind::kConnectionLost;
   int attempt = 0;
   HostAnswer answer{};  // kAnswered
 };
 
 struct Transition {
   AttemptState state = AttemptState::kNone;
-  std::optional<Ending> ending;  // of the attempt, with which `state` is kNone
+  std::optional<AttemptOutcome> outcome;  // set when the attempt has ended; `state` is then kNone
 };
 
-// What follows on an event of the attempt that is out. An answer before any byte was sent, or one that isn't
-// bound to the request, is nobody's: the attempt counts as broken.
+// The transition on an event of the active attempt. An answer that arrives before any byte was sent, or that
+// does not match the request, belongs to no attempt: the active one counts as a lost connection.
 Transition Advance(AttemptState state, const AttemptEvent& event);
 
-// All attempts of one try, one after another.
-class Course {
+// All attempts of one request, one after another.
+class AttemptSequence {
  public:
-  Course() = default;
-  Course(bool repeatable, int most_attempts) : record_{repeatable, most_attempts} {}
+  AttemptSequence() = default;
+  AttemptSequence(bool idempotent, int max_attempts) : history_{idempotent, max_attempts} {}
 
-  // The next attempt, while none is out. Its number.
-  int Begin();
-  // Of another attempt than the one that is out: nothing. Else its ending, where it ends.
-  std::optional<Ending> Take(const AttemptEvent& event);
-  // What follows on that ending, unless we gave the attempt up.
-  Next Follow(const Ending& ending, bool budget, bool time);
-  // Part of its body is held no longer: no other attempt can be made.
-  void Bind() { record_.bound = true; }
+  // Begins the next attempt while none is active. Returns its number.
+  int BeginAttempt();
+  // Returns the outcome if the event ends the active attempt. Events of other attempts are ignored.
+  std::optional<AttemptOutcome> OnEvent(const AttemptEvent& event);
+  // What follows that outcome. Not called for an attempt that the gateway abandoned.
+  NextStep DecideNextStep(const AttemptOutcome& outcome, bool budget_allows, bool time_left);
+  // Part of the request body is no longer buffered: no further attempt is possible.
+  void MarkBodyReleased() { history_.body_released = true; }
 
-  bool out() const { return state_ != AttemptState::kNone; }
-  int attempt() const { return record_.attempts - 1; }  // the latest
-  // Whether a promise would be true: no host has run the request or ever will.
-  bool MayPromise() const { return !out() && !record_.may_have_run; }
-  const Record& record() const { return record_; }
+  bool in_progress() const { return state_ != AttemptState::kNone; }
+  int attempt() const { return history_.attempts - 1; }  // the number of the latest attempt
+  // Whether the client may be promised that no host has executed the request or ever will.
+  bool IsKnownNotExecuted() const { return !in_progress() && !history_.may_have_executed; }
+  const AttemptHistory& history() const { return history_; }
   AttemptState state() const { return state_; }
 
  private:
-  Record record_;
+  AttemptHistory history_;
   AttemptState state_ = AttemptState::kNone;
 };
 
--- a/src/retry/retry.cpp
+++ b/src/retry/retry.cpp
@@ -8,92 +8,105 @@
 namespace curlewdoor::retry {
 namespace {
 
-constexpr double kSafe = 0.7;        // of what the rule allows: gateways come and go, and windows slide
-constexpr double kSlackSaved = 0.6;  // of the slack that a gateway may have saved up; the rest refills it
-constexpr double kEarnedFor = 0.5;   // windows until what requests gave beyond that has faded
-
-bool IsPromise(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
+// Only this share of the allowed retries is used: the number of gateways changes, and windows slide.
+constexpr double kSafetyFactor = 0.7;
+// Share of the slack that a gateway may accumulate; the rest refills the bucket.
+constexpr double kSavedSlackShare = 0.6;
+// Tokens earned by requests beyond the accumulated slack decay by a factor of e in this many windows.
+constexpr double kEarnedDecayWindows = 0.5;
+
+bool IsNotExecutedStatus(int status) {
+  return status == 429 || status == 503 || status == 408 || status == 421;
+}
 
 }  // namespace
 
-Verdict Judge(const Ending& ending) {
-  switch (ending.how) {
-    case Ending::How::kNoConnect:
-    case Ending::How::kBroken:
-    case Ending::How::kTimedOut:
-      return ending.sent == Sent::kNothing ? Verdict::kNotRun : Verdict::kMayHaveRun;
-    case Ending::How::kAnswered:
+Execution ClassifyExecution(const AttemptOutcome& outcome) {
+  switch (outcome.result) {
+    case AttemptOutcome::Result::kConnectFailed:
+    case AttemptOutcome::Result::kConnectionLost:
+    case AttemptOutcome::Result::kTimedOut:
+      return outcome.sent == BytesSent::kNothing ? Execution::kNotExecuted : Execution::kMayHaveExecuted;
+    case AttemptOutcome::Result::kAnswered:
       break;
   }
-  if (ending.not_run || ending.status == 421) return Verdict::kNotRun;
-  return ending.status >= 200 && ending.status < 300 && ending.sealed ? Verdict::kRan : Verdict::kMayHaveRun;
+  if (outcome.not_executed || outcome.status == 421) return Execution::kNotExecuted;
+  return outcome.status >= 200 && outcome.status < 300 && outcome.sealed ? Execution::kExecuted
+                                                                         : Execution::kMayHaveExecuted;
 }
 
-bool Arrived(const Ending& ending) {
-  return ending.sent != Sent::kNothing || ending.how == Ending::How::kAnswered;
+bool MayHaveReachedHost(const AttemptOutcome& outcome) {
+  return outcome.sent != BytesSent::kNothing || outcome.result == AttemptOutcome::Result::kAnswered;
 }
 
-bool MayPass(const Ending& ending) {
-  if (ending.how != Ending::How::kAnswered || !ending.whole) return false;
-  if (ending.status >= 200 && ending.status < 300) return ending.sealed;
-  return ending.status >= 300 && !IsPromise(ending.status) && !ending.not_run;
+bool MayForward(const AttemptOutcome& outcome) {
+  if (outcome.result != AttemptOutcome::Result::kAnswered || !outcome.complete) return false;
+  if (outcome.status >= 200 && outcome.status < 300) return outcome.sealed;
+  return outcome.status >= 300 && !IsNotExecutedStatus(outcome.status) && !outcome.not_executed;
 }
 
-Next Follow(Record& record, const Ending& ending, bool budget, bool time) {
-  const Verdict verdict = Judge(ending);
-  record.may_have_run = record.may_have_run || verdict != Verdict::kNotRun;
-  if (verdict == Verdict::kRan && MayPass(ending)) return Next::kPass;
-  const bool refusal = ending.how == Ending::How::kAnswered && ending.status >= 400 && ending.status < 500;
-  if (refusal && MayPass(ending)) return Next::kPass;  // the request itself is at fault
-  const bool allowed = record.repeatable || !record.may_have_run;
-  if (allowed && !record.bound && record.attempts < record.most_attempts && time &&
-      (budget || !Arrived(ending)))
-    return Next::kAgain;
-  if (MayPass(ending)) return Next::kPass;
-  return record.may_have_run ? Next::kFail : Next::kDecline;
+NextStep DecideNextStep(AttemptHistory& history, const AttemptOutcome& outcome, bool budget_allows,
+                        bool time_left) {
+  const Execution execution = ClassifyExecution(outcome);
+  history.may_have_executed = history.may_have_executed || execution != Execution::kNotExecuted;
+  if (execution == Execution::kExecuted && MayForward(outcome)) return NextStep::kForward;
+  const bool client_error =
+      outcome.result == AttemptOutcome::Result::kAnswered && outcome.status >= 400 && outcome.status < 500;
+  if (client_error && MayForward(outcome)) return NextStep::kForward;  // the request itself is at fault
+  const bool allowed = history.idempotent || !history.may_have_executed;
+  if (allowed && !history.body_released && history.attempts < history.max_attempts && time_left &&
+      (budget_allows || !MayHaveReachedHost(outcome)))
+    return NextStep::kRetry;
+  if (MayForward(outcome)) return NextStep::kForward;
+  return history.may_have_executed ? NextStep::kFail : NextStep::kDecline;
 }
 
-Budget::Budget(Options options, bool fresh, TimePoint now) : options_(options), at_(now) {
-  if (fresh) level_ = Saved();
+RetryBudget::RetryBudget(Options options, bool start_full, TimePoint now)
+    : options_(options), updated_at_(now) {
+  if (start_full) tokens_ = IdleCapacity();
 }
 
-double Budget::Saved() const { return kSafe * kSlackSaved * options_.slack / std::max(1, options_.gateways); }
+double RetryBudget::IdleCapacity() const {
+  return kSafetyFactor * kSavedSlackShare * options_.slack / std::max(1, options_.gateways);
+}
 
-double Budget::Most() const { return std::max(1.0, Saved()); }
+double RetryBudget::MaxTokens() const { return std::max(1.0, IdleCapacity()); }
 
-void Budget::SetGateways(int gateways) {
+void RetryBudget::SetGateways(int gateways) {
   options_.gateways = std::max(1, gateways);
-  level_ = std::min(level_, Most());
+  tokens_ = std::min(tokens_, MaxTokens());
 }
 
-// What comes back by time alone is, over a window, the rest of the slack. In a large fleet a gateway's part
-// of the slack is less than one try: the rest of one is earned by requests, and fades when they are past.
-// Guards against a whole try saved up by each of more gateways than the slack has tries.
-void Budget::Refill(TimePoint now) {
-  const double window = std::max(0.001, Seconds(options_.window)), passed = Seconds(now - at_);
-  if (passed <= 0) return;
-  at_ = now;
-  const double rate = kSafe * (1 - kSlackSaved) * options_.slack / std::max(1, options_.gateways) / window;
-  if (level_ < Saved()) {
-    level_ = std::min(Saved(), level_ + rate * passed);
+// Over one window, time alone refills the share of the slack that is not accumulated. In a large fleet a
+// gateway's share of the slack is less than one retry; the remainder is earned by requests and decays when
+// they stop. The decay keeps more gateways than the slack has retries from each holding a whole saved retry.
+void RetryBudget::Refill(TimePoint now) {
+  const double window = std::max(0.001, Seconds(options_.window)), elapsed = Seconds(now - updated_at_);
+  if (elapsed <= 0) return;
+  updated_at_ = now;
+  const double rate =
+      kSafetyFactor * (1 - kSavedSlackShare) * options_.slack / std::max(1, options_.gateways) / window;
+  if (tokens_ < IdleCapacity()) {
+    tokens_ = std::min(IdleCapacity(), tokens_ + rate * elapsed);
   } else {
-    level_ = Saved() + (level_ - Saved()) * std::exp(-passed / (kEarnedFor * window));
+    tokens_ =
+        IdleCapacity() + (tokens_ - IdleCapacity()) * std::exp(-elapsed / (kEarnedDecayWindows * window));
   }
 }
 
-void Budget::OnRequest(TimePoint now) {
+void RetryBudget::OnRequest(TimePoint now) {
   Refill(now);
-  level_ = std::min(Most(), level_ + kSafe * options_.ratio);
+  tokens_ = std::min(MaxTokens(), tokens_ + kSafetyFactor * options_.ratio);
 }
 
-bool Budget::Covers(TimePoint now) {
+bool RetryBudget::Allows(TimePoint now) {
   Refill(now);
-  return level_ >= 1;
+  return tokens_ >= 1;
 }
 
-void Budget::Spend(TimePoint now) {
+void RetryBudget::Spend(TimePoint now) {
   Refill(now);
-  level_ -= 1;
+  tokens_ -= 1;
 }
 
 }  // namespace curlewdoor::retry
--- a/src/retry/retry.hpp
+++ b/src/retry/retry.hpp
@@ -1,7 +1,9 @@
-// What became of an attempt, whether the request may go to another host, and what its client is told. Pure.
+// Classifies the outcome of an attempt and decides whether the request is retried at another host or what its
+// client is told. Pure.
 //
-// Every promise (429, 503, 408, 421: the request has not run and never will) and every further attempt goes
-// through Verdict. Source: RULES.md, TWICE, REFUSED, BUDGET.
+// The statuses 429, 503, 408 and 421 promise the client that its request has not been executed and never will
+// be. Each such answer and each retry is decided by the Execution of the attempts that were made: a request
+// that is not idempotent must never be executed twice, and the promise must never be wrong.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +12,69 @@
 
 namespace curlewdoor::retry {
 
-enum class Verdict { kNotRun, kMayHaveRun, kRan };
+// Whether a host has executed the request of an attempt.
+enum class Execution {
+  kNotExecuted,      // it has not and never will
+  kMayHaveExecuted,  // it may have, or may do so later
+  kExecuted
+};
 
-// How much of an attempt's request was given to the system, which may bring it to the host at any time.
-enum class Sent { kNothing, kPart, kAll };
+// How much of an attempt's request was written to the socket. The operating system may deliver these bytes to
+// the host at any later time.
+enum class BytesSent { kNothing, kPartial, kAll };
 
-// How an attempt ended, as seen on its connection.
-struct Ending {
-  enum class How { kNoConnect, kBroken, kAnswered, kTimedOut } how = How::kBroken;
-  Sent sent = Sent::kNothing;
-  int status = 0;        // kAnswered
-  bool not_run = false;  // kAnswered: the host says that it did not run it
-  bool sealed = false;   // kAnswered: with the host's seal
-  bool whole = true;     // kAnswered: the body is there or comes in pieces of known length
+// How an attempt ended, as observed on its connection.
+struct AttemptOutcome {
+  enum class Result {
+    kConnectFailed,
+    kConnectionLost,
+    kAnswered,
+    kTimedOut
+  } result = Result::kConnectionLost;
+  BytesSent sent = BytesSent::kNothing;
+  int status = 0;             // kAnswered
+  bool not_executed = false;  // kAnswered: the host states that it did not execute the request
+  bool sealed = false;        // kAnswered: the answer carries the host's seal
+  bool complete = true;       // kAnswered: the body has arrived, or arrives in chunks of known length
 };
 
-Verdict Judge(const Ending& ending);
-// Whether it may have come to the host, which counts against the budget of further tries.
-bool Arrived(const Ending& ending);
-// Whether an answer may go to the client as it is: a success needs its seal, and a promise must be true.
-bool MayPass(const Ending& ending);
+Execution ClassifyExecution(const AttemptOutcome& outcome);
+// Whether the request may have reached the host. A retry after such an attempt is charged to the retry
+// budget.
+bool MayHaveReachedHost(const AttemptOutcome& outcome);
+// Whether the answer may be forwarded to the client unchanged. A success needs the host's seal. A status that
+// promises that the request was not executed is never forwarded: the gateway makes this promise itself, once
+// it is known to be true.
+bool MayForward(const AttemptOutcome& outcome);
 
-enum class Next { kPass, kAgain, kFail, kDecline };
+// What follows an attempt that has ended.
+enum class NextStep {
+  kForward,  // the answer is forwarded to the client
+  kRetry,    // another attempt is made
+  kFail,     // the client is told that the request failed; it may have been executed
+  kDecline   // the client is told that the request was not executed
+};
 
-// Of one request: all its attempts together.
-struct Record {
-  bool repeatable = false;
-  int most_attempts = 1;
+// The attempts of one request, taken together.
+struct AttemptHistory {
+  bool idempotent = false;
+  int max_attempts = 1;
   int attempts = 0;
-  bool bound = false;         // part of its body is held no longer: no other attempt can be made
-  bool may_have_run = false;  // by any attempt that has ended
-  auto operator<=>(const Record&) const = default;
+  // Part of the request body is no longer buffered: no further attempt is possible.
+  bool body_released = false;
+  bool may_have_executed = false;  // in any attempt that has ended
+  auto operator<=>(const AttemptHistory&) const = default;
 };
 
-// What follows the end of an attempt, where `budget` says whether a further one is covered and `time` whether
-// it can still be served. Sets `may_have_run`.
-Next Follow(Record& record, const Ending& ending, bool budget, bool time);
+// Decides what follows an attempt. `budget_allows`: the retry budget covers another attempt. `time_left`:
+// another attempt can still be served in time. Updates `history.may_have_executed`.
+NextStep DecideNextStep(AttemptHistory& history, const AttemptOutcome& outcome, bool budget_allows,
+                        bool time_left);
 
-// Further tries at one service by this gateway: a part of the requests for it and of what all gateways
-// together may try beyond that. Each gateway counts by itself; the sum over `gateways` of them stays below
-// ratio x requests + slack in every window.
-class Budget {
+// Token bucket that limits this gateway's retries at one service. Retries are limited to a share of the
+// service's requests plus a slack that all gateways share. Each gateway counts for itself; the sum over
+// `gateways` gateways stays below ratio x requests + slack in every window.
+class RetryBudget {
  public:
   struct Options {
     double ratio = 0.2;
@@ -58,20 +82,21 @@
     Duration window = std::chrono::seconds(10);
     int gateways = 1;
   };
-  // `fresh`: nothing was tried here lately; else an earlier life may just have spent all of the slack.
-  Budget(Options options, bool fresh, TimePoint now);
+  // `start_full`: this gateway has made no retries recently. Otherwise the bucket starts empty, since an
+  // earlier process may just have spent all of the slack.
+  RetryBudget(Options options, bool start_full, TimePoint now);
   void SetGateways(int gateways);
   void OnRequest(TimePoint now);
-  bool Covers(TimePoint now);
+  bool Allows(TimePoint now);  // whether one more retry is covered
   void Spend(TimePoint now);
 
  private:
-  double Saved() const;  // at most, by time alone
-  double Most() const;
+  double IdleCapacity() const;  // tokens that accumulate by time alone, at most
+  double MaxTokens() const;
   void Refill(TimePoint now);
   Options options_;
-  double level_ = 0;
-  TimePoint at_;
+  double tokens_ = 0;
+  TimePoint updated_at_;
 };
 
 }  // namespace curlewdoor::retry
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -14,10 +14,10 @@
 namespace curlewdoor::system {
 namespace {
 
-using retry::Ending;
+using retry::AttemptOutcome;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using How = retry::Ending::How;
+using Result = retry::AttemptOutcome::Result;
 
 constexpr Duration kConnectTimeout =
     milliseconds(120);                                 // within a region: some round trips and a slot's turn
@@ -162,7 +162,7 @@
           ? Duration(route->timeout)
           : std::min<Duration>(route->timeout, milliseconds(std::min<std::uint64_t>(deadline, 86'400'000)));
   request.expires = request.arrived + left;
-  request.course = retry::Course(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
+  request.course = retry::AttemptSequence(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
   request.rank =
       static_cast<int>(std::lower_bound(ranks_.begin(), ranks_.end(), route->priority) - ranks_.begin());
   if (!told.empty()) request.spent = pressure_.Spent(request.arrived, route->name, milliseconds(deadline));
@@ -251,7 +251,7 @@
   Run([this] {
     for (const RequestId id : std::exchange(waiting_, {})) {
       const auto it = requests_.find(id);
-      if (it != requests_.end() && !it->second.course.out()) Attempt(it->second);
+      if (it != requests_.end() && !it->second.course.in_progress()) Attempt(it->second);
     }
   });
 }
@@ -268,8 +268,8 @@
   request.instance = info.instance;
   request.sent = now;
   request.tried.push_back(*host);
-  request.service->chooser.Started(*host);
-  const AttemptId attempt{request.id, request.course.Begin()};
+  request.service->chooser.OnAttemptStart(*host);
+  const AttemptId attempt{request.id, request.course.BeginAttempt()};
   if (!uploads_.Start({attempt, *host, info.address, request.expires})) Post(AttemptBroken{attempt});
 }
 
@@ -301,7 +301,8 @@
   if (const auto* read = std::get_if<RequestRead>(&input)) return Begin(read->request.id);
   if (const auto* written = std::get_if<AttemptWritten>(&input))
     return Hear(written->attempt, Kind::kAllSent);
-  if (const auto* broken = std::get_if<AttemptBroken>(&input)) return Hear(broken->attempt, Kind::kBroken);
+  if (const auto* broken = std::get_if<AttemptBroken>(&input))
+    return Hear(broken->attempt, Kind::kConnectionLost);
   if (const auto* answered = std::get_if<AttemptAnswered>(&input)) return HearAnswer(*answered);
 }
 
@@ -316,7 +317,7 @@
 void Front::Hear(const AttemptId& attempt, retry::AttemptEvent::Kind kind) {
   Request* request = Find(attempt.request);
   if (request == nullptr) return;
-  const auto ending = request->course.Take({kind, attempt.number, {}});
+  const auto ending = request->course.OnEvent({kind, attempt.number, {}});
   if (ending) EndAttempt(*request, *ending, nullptr);
 }
 
@@ -324,57 +325,57 @@
   Request* request = Find(answered.attempt.request);
   const http::Message* message = upstream_.current_answer();
   if (request == nullptr || message == nullptr) return;
-  retry::HostAnswer answer{.status = answered.status, .not_run = answered.not_processed};
-  answer.bound = message->Find(kAttemptIdHeader) == request->wire_id;
+  retry::HostAnswer answer{.status = answered.status, .not_executed = answered.not_processed};
+  answer.matches_request = message->Find(kAttemptIdHeader) == request->wire_id;
   // One without a length is done when its connection ends in order: a reset breaks the attempt, or the
   // stream.
-  answer.whole = message->done() || upstream_.stream_begins();
+  answer.complete = message->done() || upstream_.stream_begins();
   // One that was coded is not the host's.
   answer.sealed = !message->Find(kSealHeader).empty() && !message->Has("Content-Encoding");
   const auto ending =
-      request->course.Take({retry::AttemptEvent::Kind::kAnswered, answered.attempt.number, answer});
+      request->course.OnEvent({retry::AttemptEvent::Kind::kAnswered, answered.attempt.number, answer});
   if (ending) EndAttempt(*request, *ending, message);
 }
 
 // The attempt that is out, if one is: its connection is closed, so that a late answer reaches nobody.
-void Front::GiveUp(Request& request, load_balancing::End end) {
+void Front::GiveUp(Request& request, load_balancing::AttemptFeedback end) {
   const AttemptId attempt{request.id, request.course.attempt()};
-  if (!request.course.Take({retry::AttemptEvent::Kind::kGivenUp, attempt.number, {}})) return;
-  request.service->chooser.Ended(Now(), request.host, end, 0);
+  if (!request.course.OnEvent({retry::AttemptEvent::Kind::kAbandoned, attempt.number, {}})) return;
+  request.service->chooser.OnAttemptEnd(Now(), request.host, end, 0);
   upstream_.Drop(attempt);
 }
 
-void Front::EndAttempt(Request& request, const Ending& ending, const http::Message* answer) {
+void Front::EndAttempt(Request& request, const AttemptOutcome& ending, const http::Message* answer) {
   const TimePoint now = Now();
   Service& service = *request.service;
   const double latency = Seconds(now - request.sent), mean = Mean(request);
-  using load_balancing::End;
-  End end = End::kFailed;
-  if (ending.how == How::kNoConnect) end = End::kNoConnect;
-  if (ending.how == How::kTimedOut) end = End::kFailed;
-  if (ending.how == How::kAnswered) {
+  using load_balancing::AttemptFeedback;
+  AttemptFeedback end = AttemptFeedback::kFailed;
+  if (ending.result == Result::kConnectFailed) end = AttemptFeedback::kConnectFailed;
+  if (ending.result == Result::kTimedOut) end = AttemptFeedback::kFailed;
+  if (ending.result == Result::kAnswered) {
     if (ending.status == 421) {
-      end = End::kElsewhere;
-    } else if (ending.not_run) {
-      end = End::kFull;
+      end = AttemptFeedback::kWrongHost;
+    } else if (ending.not_executed) {
+      end = AttemptFeedback::kOverloaded;
     } else if (ending.sealed && ending.status < 500) {
-      end = End::kAnswered;
+      end = AttemptFeedback::kAnswered;
     }
   }
-  service.chooser.Ended(now, request.host, end, mean > 0 ? latency / mean : 1);
-  if (end == End::kAnswered && ending.status < 300) {
+  service.chooser.OnAttemptEnd(now, request.host, end, mean > 0 ? latency / mean : 1);
+  if (end == AttemptFeedback::kAnswered && ending.status < 300) {
     const auto [it, first] = service.means.try_emplace(request.route->name, latency);
     if (!first) it->second += kMeanStep * (latency - it->second);
   }
-  if (end != End::kAnswered && events::Heard(events::Event::kAttemptFailed))
+  if (end != AttemptFeedback::kAnswered && events::Heard(events::Event::kAttemptFailed))
     events::Say(events::Event::kAttemptFailed,
                 service.name + " host " + request.instance + " how " +
-                    std::to_string(static_cast<int>(ending.how)) + " status " +
+                    std::to_string(static_cast<int>(ending.result)) + " status " +
                     std::to_string(ending.status) +
-                    (ending.sent == retry::Sent::kAll ? " written" : " not written"));
+                    (ending.sent == retry::BytesSent::kAll ? " written" : " not written"));
   const bool time = now + FromSeconds(mean / 2) < request.expires;
-  switch (request.course.Follow(ending, service.budget.Covers(now), time)) {
-    case retry::Next::kPass: {
+  switch (request.course.DecideNextStep(ending, service.budget.Allows(now), time)) {
+    case retry::NextStep::kForward: {
       const RequestId id = request.id;
       ++figures_.passed;
       Forget(request);
@@ -385,12 +386,12 @@
       }
       return Deliver(id, *answer);
     }
-    case retry::Next::kAgain:
+    case retry::NextStep::kRetry:
       ++figures_.again;
-      if (retry::Arrived(ending)) service.budget.Spend(now);
+      if (retry::MayHaveReachedHost(ending)) service.budget.Spend(now);
       return Dispatch(request);
-    case retry::Next::kDecline:
-    case retry::Next::kFail:
+    case retry::NextStep::kDecline:
+    case retry::NextStep::kFail:
       return Conclude(request, ComeBack(request), 502);
   }
 }
@@ -403,7 +404,7 @@
 // this status.
 void Front::Conclude(Request& request, Duration retry_after, int status) {
   const RequestId id = request.id;
-  const bool promise = request.course.MayPromise();
+  const bool promise = request.course.IsKnownNotExecuted();
   if (promise && request.claim.customer != nullptr) leases_.Return(Now(), request.claim);
   Forget(request);
   if (promise) {
@@ -428,7 +429,7 @@
   Request& request = it->second;
   ++figures_.left;
   if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-  GiveUp(request, load_balancing::End::kNothing);
+  GiveUp(request, load_balancing::AttemptFeedback::kCancelled);
   Forget(request);
 }
 
@@ -446,13 +447,14 @@
   const RequestId id = request.id;
   ++counts_.rejected;
   if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-  GiveUp(request, load_balancing::End::kNothing);
+  GiveUp(request, load_balancing::AttemptFeedback::kCancelled);
   Forget(request);
   Decline(id, 413, {}, kBodyTooLarge);
 }
 
 void Front::OnBound(const AttemptId& attempt) {
-  if (const auto it = requests_.find(attempt.request); it != requests_.end()) it->second.course.Bind();
+  if (const auto it = requests_.find(attempt.request); it != requests_.end())
+    it->second.course.MarkBodyReleased();
 }
 
 // ---- Times --------------------------------------------------------------------------------------------
@@ -486,7 +488,7 @@
       ++figures_.expired;
       Request& request = it->second;
       if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-      GiveUp(request, load_balancing::End::kFailed);
+      GiveUp(request, load_balancing::AttemptFeedback::kFailed);
       Conclude(request, milliseconds(50), 504);
     }
   });
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -89,8 +89,8 @@
 
   struct Service {
     std::string name;
-    load_balancing::Chooser chooser;
-    retry::Budget budget;
+    load_balancing::LoadBalancer chooser;
+    retry::RetryBudget budget;
     std::map<std::string, double> means;  // seconds that answers take, by route
     bool known = true;
   };
@@ -100,7 +100,7 @@
     const policy::Route* route = nullptr;
     Service* service = nullptr;
     std::string tenant, wire_id;
-    retry::Course course;  // of its attempts at hosts
+    retry::AttemptSequence course;  // of its attempts at hosts
     Leases::Claim claim;
     bool held_open = false;  // its customer's `open` counts it
     Duration spent{};        // that its client has waited already
@@ -165,7 +165,7 @@
   Request* Find(RequestId id);
   void Hear(const AttemptId& attempt, retry::AttemptEvent::Kind kind);
   void HearAnswer(const AttemptAnswered& answered);
-  void GiveUp(Request& request, load_balancing::End end);
+  void GiveUp(Request& request, load_balancing::AttemptFeedback end);
   void RefuseBody(Request& request);  // longer than its configuration allows
   void Begin(RequestId id);
   void Dispatch(Request& request);
@@ -176,7 +176,7 @@
   }
   void TakeIn(RequestId id, TimePoint arrived);
   static registry_replication::Time RegistryNow() { return std::chrono::steady_clock::now(); }
-  void EndAttempt(Request& request, const retry::Ending& ending, const http::Message* answer);
+  void EndAttempt(Request& request, const retry::AttemptOutcome& ending, const http::Message* answer);
   void Conclude(Request& request, Duration retry_after, int status);
   Duration ComeBack(const Request& request);
   void Forget(Request& request);
--- a/src/system/front_in_force.cpp
+++ b/src/system/front_in_force.cpp
@@ -40,10 +40,11 @@
 Front::Service& Front::ServiceOf(const std::string& name) {
   auto& service = services_[name];
   if (service == nullptr) {
-    const retry::Budget::Options budget{settings_.bounds.retry_budget_ratio, settings_.bounds.retry_slack,
-                                        settings_.bounds.retry_window, gateways_};
-    service = std::make_unique<Service>(
-        Service{name, load_balancing::Chooser({}, rng_()), retry::Budget(budget, fresh_, Now()), {}, true});
+    const retry::RetryBudget::Options budget{settings_.bounds.retry_budget_ratio,
+                                             settings_.bounds.retry_slack, settings_.bounds.retry_window,
+                                             gateways_};
+    service = std::make_unique<Service>(Service{
+        name, load_balancing::LoadBalancer({}, rng_()), retry::RetryBudget(budget, fresh_, Now()), {}, true});
   }
   return *service;
 }
@@ -54,7 +55,7 @@
   std::unordered_map<std::string, HostId> ids;
   for (auto& [name, service] : services_) service->known = false;
   for (const auto& [name, entries] : hosts.all()) {
-    std::vector<load_balancing::Host> usable;
+    std::vector<load_balancing::BackendHost> usable;
     for (const directory::Entry& entry : entries) {
       const auto found = ids_.find(entry.id);
       const HostId id = found != ids_.end() ? found->second : HostId{next_host_++};
@@ -72,11 +73,12 @@
       usable.push_back({id, std::max(1, entry.slots), entry.zone == settings_.zone, 0, entry.silent,
                         TimePoint(entry.warm_at.time_since_epoch())});
     }
-    const auto near = std::count_if(usable.begin(), usable.end(), [](const auto& host) { return host.near; });
-    const auto own = load_balancing::Aperture(static_cast<std::size_t>(near), index_, in_zone_);
+    const auto near =
+        std::count_if(usable.begin(), usable.end(), [](const auto& host) { return host.same_zone; });
+    const auto own = load_balancing::ApertureShares(static_cast<std::size_t>(near), index_, in_zone_);
     std::size_t at = 0;
-    for (load_balancing::Host& host : usable)
-      if (host.near) host.own = own[at++];
+    for (load_balancing::BackendHost& host : usable)
+      if (host.same_zone) host.aperture_share = own[at++];
     Service& service = ServiceOf(name);
     service.known = true;
     service.chooser.SetHosts(now, usable);
--- a/tests/retry/attempt_model_test.cpp
+++ b/tests/retry/attempt_model_test.cpp
@@ -1,5 +1,6 @@
-// All sequences of events of a client's try, to a depth: what a real host may do with what it was given is
-// kept apart from the code under test. Each mutation of the rules must be found, by its shortest trace.
+// Model check of the attempts of one request: explores all sequences of events up to a depth. What a host may
+// have done with the bytes it received is tracked independently of the code under test. Mutations of the
+// rules show that the check can fail: each must be found, and its shortest trace is printed.
 #include <array>
 #include <boost/test/unit_test.hpp>
 #include <chrono>
@@ -17,309 +18,328 @@
 namespace {
 
 using Kind = AttemptEvent::Kind;
-constexpr std::size_t kMostAttempts = 3, kDepth = 16;
+constexpr std::size_t kMaxAttempts = 3, kDepth = 16;
 
-bool IsPromise(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+bool IsNotExecutedStatus(int status) {
+  return status == 408 || status == 421 || status == 429 || status == 503;
+}
 
-// Answers as hosts give them; bound and not.
+// Answers as hosts give them, to this request and to another one.
 const std::vector<HostAnswer>& Answers() {
   static const std::vector<HostAnswer> all = [] {
     std::vector<HostAnswer> made;
-    for (const bool bound : {true, false}) {
+    for (const bool matches_request : {true, false}) {
       for (const int status : {200, 404, 408, 421, 429, 500, 503})
-        made.push_back({status, bound, false, true, true});
-      for (const int status : {400, 421, 429, 503}) made.push_back({status, bound, true, false, true});
-      made.push_back({200, bound, false, false, true});  // no seal
-      made.push_back({200, bound, false, true, false});  // cut
+        made.push_back({status, matches_request, false, true, true});
+      for (const int status : {400, 421, 429, 503})
+        made.push_back({status, matches_request, true, false, true});
+      made.push_back({200, matches_request, false, false, true});  // a success without its seal
+      made.push_back({200, matches_request, false, true, false});  // a truncated answer
     }
     return made;
   }();
   return all;
 }
 
-// What the world knows of an attempt.
-struct Truth {
-  bool sent = false;     // a byte has gone: from then on a host may work on it, now or later
-  bool refused = false;  // its host has said, for this request and in time, that it has not run it
-  auto operator<=>(const Truth&) const = default;
-  bool CanRun() const { return sent && !refused; }
+// What is true of an attempt, whether the code under test knows it or not.
+struct GroundTruth {
+  bool sent = false;  // a byte was sent: from then on a host may execute the request at any time
+  bool confirmed_not_executed =
+      false;  // its host has stated, for this request and in time, that it did not execute it
+  auto operator<=>(const GroundTruth&) const = default;
+  bool CanExecute() const { return sent && !confirmed_not_executed; }
 };
 
-// How the rules are changed; what is empty is as it should be.
+// A change of the rules under test. An empty member changes nothing.
 struct Mutation {
   std::string name;
-  std::function<std::optional<AttemptEvent>(const Course&, AttemptEvent)> hear;  // nullopt: it isn't heard
-  std::function<Ending(Ending)> end;
-  std::string sought;  // the fault that it is to lead to; empty: any
+  std::function<std::optional<AttemptEvent>(const AttemptSequence&, AttemptEvent)>
+      filter_event;  // nullopt: the event is dropped
+  std::function<AttemptOutcome(AttemptOutcome)> alter_outcome;
+  std::string expected_violation;  // the violation that it must lead to; empty: any
 };
 
-struct Node {
-  Course course;
-  std::array<Truth, kMostAttempts> truth{};
-  bool over = false;
-  auto Key() const { return std::tuple(course.record(), course.state(), truth, over); }
+struct ModelState {
+  AttemptSequence sequence;
+  std::array<GroundTruth, kMaxAttempts> ground_truth{};
+  bool finished = false;
+  auto Key() const { return std::tuple(sequence.history(), sequence.state(), ground_truth, finished); }
 };
 
-struct Found {
+struct SearchResult {
   std::size_t states = 0;
-  std::string fault;
-  std::vector<std::string> trace;  // shortest; empty where none was found
+  std::string violation;
+  std::vector<std::string> trace;  // the shortest one; empty if no violation was found
 };
 
-std::string Text(const AttemptEvent& event) {
-  constexpr const char* kKinds[] = {"bytes-sent", "all-sent", "broken", "answered", "given-up"};
+std::string Describe(const AttemptEvent& event) {
+  constexpr const char* kKinds[] = {"bytes-sent", "all-sent", "broken", "answered", "abandoned"};
   std::string text =
       std::string(kKinds[static_cast<int>(event.kind)]) + " of " + std::to_string(event.attempt);
   if (event.kind != Kind::kAnswered) return text;
   const HostAnswer& answer = event.answer;
-  return text + " " + std::to_string(answer.status) + (answer.bound ? "" : " of-another") +
-         (answer.not_run ? " not-run" : "") + (answer.sealed ? " sealed" : "") + (answer.whole ? "" : " cut");
+  return text + " " + std::to_string(answer.status) + (answer.matches_request ? "" : " of-another-request") +
+         (answer.not_executed ? " not-executed" : "") + (answer.sealed ? " sealed" : "") +
+         (answer.complete ? "" : " truncated");
 }
 
 class Search {
  public:
-  Search(bool repeatable, int most, const Mutation& mutation) : mutation_(mutation), most_(most) {
-    Node first;
-    first.course = Course(repeatable, most);
-    first.course.Begin();
+  Search(bool idempotent, int max_attempts, const Mutation& mutation)
+      : mutation_(mutation), max_attempts_(max_attempts) {
+    ModelState first;
+    first.sequence = AttemptSequence(idempotent, max_attempts);
+    first.sequence.BeginAttempt();
     Add(first, -1, "begin 0");
   }
 
-  Found Run() {
-    while (!queue_.empty() && fault_.empty()) {
-      const std::size_t at = queue_.front();
+  SearchResult Run() {
+    while (!queue_.empty() && violation_.empty()) {
+      const std::size_t index = queue_.front();
       queue_.pop_front();
-      if (nodes_[at].depth < kDepth && !nodes_[at].node.over) Expand(at);
+      if (reached_[index].depth < kDepth && !reached_[index].model.finished) Expand(index);
     }
-    Found found{nodes_.size(), fault_, {}};
-    for (int at = fault_.empty() ? -1 : last_; at >= 0; at = nodes_[static_cast<std::size_t>(at)].before)
-      found.trace.insert(found.trace.begin(), nodes_[static_cast<std::size_t>(at)].step);
-    if (!fault_.empty()) found.trace.push_back(step_);
-    return found;
+    SearchResult result{reached_.size(), violation_, {}};
+    for (int index = violation_.empty() ? -1 : last_; index >= 0;
+         index = reached_[static_cast<std::size_t>(index)].parent)
+      result.trace.insert(result.trace.begin(), reached_[static_cast<std::size_t>(index)].step);
+    if (!violation_.empty()) result.trace.push_back(step_);
+    return result;
   }
 
  private:
-  struct Reached {
-    Node node;
-    int before;
+  struct ReachedState {
+    ModelState model;
+    int parent;
     std::size_t depth;
     std::string step;
   };
 
-  void Add(const Node& node, int before, const std::string& step) {
-    if (!known_.emplace(node.Key(), true).second) return;
-    const std::size_t depth = before < 0 ? 0 : nodes_[static_cast<std::size_t>(before)].depth + 1;
-    queue_.push_back(nodes_.size());
-    nodes_.push_back({node, before, depth, step});
+  void Add(const ModelState& model, int parent, const std::string& step) {
+    if (!visited_.emplace(model.Key(), true).second) return;
+    const std::size_t depth = parent < 0 ? 0 : reached_[static_cast<std::size_t>(parent)].depth + 1;
+    queue_.push_back(reached_.size());
+    reached_.push_back({model, parent, depth, step});
   }
 
-  // Every event that its connections may tell: of the attempt that is out, and late ones of those before it.
-  void Expand(std::size_t at) {
-    const Node node = nodes_[at].node;
-    for (int attempt = 0; attempt <= node.course.attempt() && fault_.empty(); ++attempt) {
-      const bool out = node.course.out() && attempt == node.course.attempt();
-      const Truth& truth = node.truth[static_cast<std::size_t>(attempt)];
-      for (const Kind kind : {Kind::kBytesSent, Kind::kAllSent, Kind::kBroken, Kind::kGivenUp})
-        if (out || kind == Kind::kBroken) Play(at, {kind, attempt, {}});
+  // Applies every event that connections can report: of the active attempt, and late ones of earlier
+  // attempts.
+  void Expand(std::size_t index) {
+    const ModelState model = reached_[index].model;
+    for (int attempt = 0; attempt <= model.sequence.attempt() && violation_.empty(); ++attempt) {
+      const bool in_progress = model.sequence.in_progress() && attempt == model.sequence.attempt();
+      const GroundTruth& ground_truth = model.ground_truth[static_cast<std::size_t>(attempt)];
+      for (const Kind kind : {Kind::kBytesSent, Kind::kAllSent, Kind::kConnectionLost, Kind::kAbandoned})
+        if (in_progress || kind == Kind::kConnectionLost) Apply(index, {kind, attempt, {}});
       for (const HostAnswer& answer : Answers())
-        if (truth.sent || !answer.bound) Play(at, {Kind::kAnswered, attempt, answer});
+        if (ground_truth.sent || !answer.matches_request) Apply(index, {Kind::kAnswered, attempt, answer});
     }
-    if (!node.course.record().bound && node.course.state() == AttemptState::kPartSent) {
-      Node bound = node;
-      bound.course.Bind();
-      Add(bound, static_cast<int>(at), "bound");
+    if (!model.sequence.history().body_released && model.sequence.state() == AttemptState::kPartSent) {
+      ModelState released = model;
+      released.sequence.MarkBodyReleased();
+      Add(released, static_cast<int>(index), "body released");
     }
   }
 
-  void Play(std::size_t at, const AttemptEvent& event) {
-    if (!fault_.empty()) return;
-    last_ = static_cast<int>(at);
-    step_ = Text(event);
-    Node node = nodes_[at].node;
-    Truth& truth = node.truth[static_cast<std::size_t>(event.attempt)];
-    const bool out = node.course.out() && event.attempt == node.course.attempt();
-    const bool may_have_run = node.course.record().may_have_run;
-    if (event.kind == Kind::kBytesSent || event.kind == Kind::kAllSent) truth.sent = true;
-    if (event.kind == Kind::kAnswered && event.answer.bound && out)
-      truth.refused = event.answer.not_run || event.answer.status == 421;
-    const std::optional<AttemptEvent> heard =
-        mutation_.hear ? mutation_.hear(node.course, event) : std::optional(event);
-    auto ending = heard ? node.course.Take(*heard) : std::nullopt;
-    if (!ending) return Add(node, static_cast<int>(at), step_);
-    if (mutation_.end) ending = mutation_.end(*ending);
-    if (event.attempt != node.course.attempt()) Fault("ended by an event of another attempt");
-    if (event.kind == Kind::kGivenUp)
-      return Conclude(node, at, !may_have_run && Judge(*ending) == Verdict::kNotRun);
-    for (const bool budget : {true, false})
-      for (const bool time : {true, false}) Follow(node, at, event, *ending, budget, time);
+  void Apply(std::size_t index, const AttemptEvent& event) {
+    if (!violation_.empty()) return;
+    last_ = static_cast<int>(index);
+    step_ = Describe(event);
+    ModelState model = reached_[index].model;
+    GroundTruth& ground_truth = model.ground_truth[static_cast<std::size_t>(event.attempt)];
+    const bool in_progress = model.sequence.in_progress() && event.attempt == model.sequence.attempt();
+    const bool may_have_executed = model.sequence.history().may_have_executed;
+    if (event.kind == Kind::kBytesSent || event.kind == Kind::kAllSent) ground_truth.sent = true;
+    if (event.kind == Kind::kAnswered && event.answer.matches_request && in_progress)
+      ground_truth.confirmed_not_executed = event.answer.not_executed || event.answer.status == 421;
+    const std::optional<AttemptEvent> filtered =
+        mutation_.filter_event ? mutation_.filter_event(model.sequence, event) : std::optional(event);
+    auto outcome = filtered ? model.sequence.OnEvent(*filtered) : std::nullopt;
+    if (!outcome) return Add(model, static_cast<int>(index), step_);
+    if (mutation_.alter_outcome) outcome = mutation_.alter_outcome(*outcome);
+    if (event.attempt != model.sequence.attempt()) ReportViolation("ended by an event of another attempt");
+    if (event.kind == Kind::kAbandoned)
+      return FinishAbandoned(model, index,
+                             !may_have_executed && ClassifyExecution(*outcome) == Execution::kNotExecuted);
+    for (const bool budget_allows : {true, false})
+      for (const bool time_left : {true, false})
+        TryDecisions(model, index, event, *outcome, budget_allows, time_left);
   }
 
-  // Given up: its client is told, or has gone.
-  void Conclude(Node node, std::size_t at, bool promise) {
-    if (promise) CheckPromise(node);
-    if (!mutation_.end && promise != node.course.MayPromise()) return Fault("another promise than judged");
-    node.over = true;
-    Add(node, static_cast<int>(at), step_);
+  // The attempt was abandoned: the client is answered, or has left.
+  void FinishAbandoned(ModelState model, std::size_t index, bool not_executed_promised) {
+    if (not_executed_promised) CheckPromise(model);
+    if (!mutation_.alter_outcome && not_executed_promised != model.sequence.IsKnownNotExecuted())
+      return ReportViolation("IsKnownNotExecuted() disagrees with the outcome");
+    model.finished = true;
+    Add(model, static_cast<int>(index), step_);
   }
 
-  void Follow(Node node, std::size_t at, const AttemptEvent& event, const Ending& ending, bool budget,
-              bool time) {
-    const bool bound = node.course.record().bound;
-    const int attempts = node.course.record().attempts;
-    const Next next = node.course.Follow(ending, budget, time);
-    bool can_run = false;
-    for (const Truth& truth : node.truth) can_run = can_run || truth.CanRun();
-    if (next == Next::kAgain) {
-      if (can_run && !node.course.record().repeatable) return Fault("sent again though it may have run");
-      if (attempts >= most_) return Fault("more hosts than max_attempts");
-      if (bound) return Fault("sent again without its whole body");
-      node.course.Begin();
+  void TryDecisions(ModelState model, std::size_t index, const AttemptEvent& event,
+                    const AttemptOutcome& outcome, bool budget_allows, bool time_left) {
+    const bool body_released = model.sequence.history().body_released;
+    const int attempts = model.sequence.history().attempts;
+    const NextStep next = model.sequence.DecideNextStep(outcome, budget_allows, time_left);
+    bool can_execute = false;
+    for (const GroundTruth& ground_truth : model.ground_truth)
+      can_execute = can_execute || ground_truth.CanExecute();
+    if (next == NextStep::kRetry) {
+      if (can_execute && !model.sequence.history().idempotent)
+        return ReportViolation("retried though it may have been executed");
+      if (attempts >= max_attempts_) return ReportViolation("more attempts than max_attempts");
+      if (body_released) return ReportViolation("retried without the complete body");
+      model.sequence.BeginAttempt();
     } else {
-      if (next == Next::kPass) CheckPass(node, event);
-      if (next == Next::kDecline) CheckPromise(node);
-      if (next != Next::kPass && !can_run && budget && time && !bound && attempts < most_)
-        return Fault("given up though it has surely not run");
-      if (next == Next::kFail && !can_run) return Fault("no promise though it has surely not run");
-      node.over = true;
+      if (next == NextStep::kForward) CheckForward(model, event);
+      if (next == NextStep::kDecline) CheckPromise(model);
+      if (next != NextStep::kForward && !can_execute && budget_allows && time_left && !body_released &&
+          attempts < max_attempts_)
+        return ReportViolation("not retried though certainly not executed");
+      if (next == NextStep::kFail && !can_execute)
+        return ReportViolation("no promise though certainly not executed");
+      model.finished = true;
     }
-    Add(node, static_cast<int>(at), step_);
+    Add(model, static_cast<int>(index), step_);
   }
 
-  void CheckPass(const Node& node, const AttemptEvent& event) {
+  void CheckForward(const ModelState& model, const AttemptEvent& event) {
     const HostAnswer& answer = event.answer;
-    if (event.kind != Kind::kAnswered || event.attempt != node.course.attempt())
-      return Fault("passed on what is no answer of this attempt");
-    if (!answer.bound) return Fault("passed on an answer to another request");
-    if (!answer.whole) return Fault("passed on a cut answer");
-    if (answer.status < 300 && !answer.sealed) return Fault("passed on a success without its seal");
-    if (IsPromise(answer.status)) return Fault("passed on a promise of a host that may have run it");
+    if (event.kind != Kind::kAnswered || event.attempt != model.sequence.attempt())
+      return ReportViolation("forwarded what is no answer of this attempt");
+    if (!answer.matches_request) return ReportViolation("forwarded an answer to another request");
+    if (!answer.complete) return ReportViolation("forwarded a truncated answer");
+    if (answer.status < 300 && !answer.sealed) return ReportViolation("forwarded a success without its seal");
+    if (IsNotExecutedStatus(answer.status))
+      return ReportViolation("forwarded a promise of a host that may have executed the request");
   }
 
-  void CheckPromise(const Node& node) {
-    for (const Truth& truth : node.truth)
-      if (truth.CanRun()) return Fault("promised though a host may run it");
-    if (node.course.out()) Fault("promised while an attempt is out");
+  void CheckPromise(const ModelState& model) {
+    for (const GroundTruth& ground_truth : model.ground_truth)
+      if (ground_truth.CanExecute()) return ReportViolation("promised though a host may execute the request");
+    if (model.sequence.in_progress()) ReportViolation("promised while an attempt is active");
   }
 
-  void Fault(const std::string& what) {
-    if (fault_.empty() && (mutation_.sought.empty() || mutation_.sought == what)) fault_ = what;
+  void ReportViolation(const std::string& what) {
+    if (violation_.empty() && (mutation_.expected_violation.empty() || mutation_.expected_violation == what))
+      violation_ = what;
   }
 
   const Mutation& mutation_;
-  const int most_;
-  std::vector<Reached> nodes_;
-  std::map<decltype(Node().Key()), bool> known_;
+  const int max_attempts_;
+  std::vector<ReachedState> reached_;
+  std::map<decltype(ModelState().Key()), bool> visited_;
   std::deque<std::size_t> queue_;
-  std::string fault_, step_;
+  std::string violation_, step_;
   int last_ = -1;
 };
 
 BOOST_AUTO_TEST_CASE(NoSequenceOfEventsBreaksARule) {
   const auto begun = std::chrono::steady_clock::now();
   std::size_t states = 0;
-  for (const bool repeatable : {false, true})
-    for (int most = 1; most <= static_cast<int>(kMostAttempts); ++most) {
-      const Found found = Search(repeatable, most, {}).Run();
-      states += found.states;
+  for (const bool idempotent : {false, true})
+    for (int max_attempts = 1; max_attempts <= static_cast<int>(kMaxAttempts); ++max_attempts) {
+      const SearchResult result = Search(idempotent, max_attempts, {}).Run();
+      states += result.states;
       std::string trace;
-      for (const std::string& step : found.trace) trace += "\n  " + step;
-      BOOST_TEST_CONTEXT("repeatable " << repeatable << " most " << most << trace)
-      BOOST_TEST(found.fault == "");
+      for (const std::string& step : result.trace) trace += "\n  " + step;
+      BOOST_TEST_CONTEXT("idempotent " << idempotent << " max attempts " << max_attempts << trace)
+      BOOST_TEST(result.violation == "");
     }
   const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
   BOOST_TEST_MESSAGE("states " << states << ", depth " << kDepth << ", " << took.count() << " s");
   BOOST_TEST(states > 100u);
 }
 
-AttemptEvent As(AttemptEvent event, int attempt) {
+AttemptEvent WithAttempt(AttemptEvent event, int attempt) {
   event.attempt = attempt;
   return event;
 }
 
-constexpr const char* kTwice = "sent again though it may have run";
-constexpr const char* kStranger = "passed on an answer to another request";
+constexpr const char* kExecutedTwice = "retried though it may have been executed";
+constexpr const char* kForeignAnswer = "forwarded an answer to another request";
 
 const std::vector<Mutation>& Mutations() {
   static const std::vector<Mutation> all{
-      {"an answer belongs to whoever waits, by number alone",
-       [](const Course& course, AttemptEvent event) -> std::optional<AttemptEvent> {
-         if (event.kind == Kind::kAnswered) event.attempt = course.attempt();
+      {"an answer is attributed to the active attempt, whatever its number",
+       [](const AttemptSequence& sequence, AttemptEvent event) -> std::optional<AttemptEvent> {
+         if (event.kind == Kind::kAnswered) event.attempt = sequence.attempt();
          return event;
        },
        {},
-       "passed on what is no answer of this attempt"},
-      {"an end of an old connection ends the attempt that is out",
-       [](const Course& course, AttemptEvent event) -> std::optional<AttemptEvent> {
-         return event.kind == Kind::kBroken ? As(event, course.attempt()) : event;
+       "forwarded what is no answer of this attempt"},
+      {"the end of an old connection ends the active attempt",
+       [](const AttemptSequence& sequence, AttemptEvent event) -> std::optional<AttemptEvent> {
+         return event.kind == Kind::kConnectionLost ? WithAttempt(event, sequence.attempt()) : event;
        },
        {},
        "ended by an event of another attempt"},
-      {"sent again after a reset",
+      {"retried after a reset",
        {},
-       [](Ending ending) {
-         if (ending.how == Ending::How::kBroken) ending.sent = Sent::kNothing;
-         return ending;
+       [](AttemptOutcome outcome) {
+         if (outcome.result == AttemptOutcome::Result::kConnectionLost) outcome.sent = BytesSent::kNothing;
+         return outcome;
        },
-       kTwice},
-      {"what is half written counts as not sent",
-       [](const Course&, AttemptEvent event) -> std::optional<AttemptEvent> {
+       kExecutedTwice},
+      {"a partly written request counts as not sent",
+       [](const AttemptSequence&, AttemptEvent event) -> std::optional<AttemptEvent> {
          if (event.kind == Kind::kBytesSent) return std::nullopt;
          return event;
        },
        {},
-       kTwice},
-      {"a late answer is given to the next request on its connection",
-       [](const Course&, AttemptEvent event) -> std::optional<AttemptEvent> {
-         event.answer.bound = true;
+       kExecutedTwice},
+      {"a late answer is attributed to the next request on its connection",
+       [](const AttemptSequence&, AttemptEvent event) -> std::optional<AttemptEvent> {
+         event.answer.matches_request = true;
          return event;
        },
        {},
-       kStranger},
-      {"a 421 counts as run",
+       kForeignAnswer},
+      {"a 421 counts as executed",
        {},
-       [](Ending ending) {
-         if (ending.status == 421) ending = {.how = Ending::How::kBroken, .sent = Sent::kAll};
-         return ending;
+       [](AttemptOutcome outcome) {
+         if (outcome.status == 421)
+           outcome = {.result = AttemptOutcome::Result::kConnectionLost, .sent = BytesSent::kAll};
+         return outcome;
        },
-       "given up though it has surely not run"},
-      {"a 421 to another request counts as not run",
-       [](const Course&, AttemptEvent event) -> std::optional<AttemptEvent> {
-         if (event.answer.status == 421) event.answer.bound = true;
+       "not retried though certainly not executed"},
+      {"a 421 to another request counts as not executed",
+       [](const AttemptSequence&, AttemptEvent event) -> std::optional<AttemptEvent> {
+         if (event.answer.status == 421) event.answer.matches_request = true;
          return event;
        },
        {},
-       kTwice},
-      {"a host's own 503 counts as not run",
-       [](const Course&, AttemptEvent event) -> std::optional<AttemptEvent> {
-         if (event.answer.status == 503) event.answer.not_run = true;
+       kExecutedTwice},
+      {"a host's own 503 counts as not executed",
+       [](const AttemptSequence&, AttemptEvent event) -> std::optional<AttemptEvent> {
+         if (event.answer.status == 503) event.answer.not_executed = true;
          return event;
        },
        {},
-       kTwice},
-      {"silence counts as not run",
+       kExecutedTwice},
+      {"a timeout counts as not executed",
        {},
-       [](Ending ending) {
-         if (ending.how == Ending::How::kTimedOut) ending.sent = Sent::kNothing;
-         return ending;
+       [](AttemptOutcome outcome) {
+         if (outcome.result == AttemptOutcome::Result::kTimedOut) outcome.sent = BytesSent::kNothing;
+         return outcome;
        },
-       "promised though a host may run it"},
+       "promised though a host may execute the request"},
   };
   return all;
 }
 
 BOOST_AUTO_TEST_CASE(EveryMutationIsFound) {
   for (const Mutation& mutation : Mutations()) {
-    Found shortest;
-    for (const bool repeatable : {false, true})
-      for (int most = 1; most <= static_cast<int>(kMostAttempts); ++most) {
-        const Found found = Search(repeatable, most, mutation).Run();
-        const bool better = shortest.trace.empty() || found.trace.size() < shortest.trace.size();
-        if (!found.trace.empty() && better) shortest = found;
+    SearchResult shortest;
+    for (const bool idempotent : {false, true})
+      for (int max_attempts = 1; max_attempts <= static_cast<int>(kMaxAttempts); ++max_attempts) {
+        const SearchResult result = Search(idempotent, max_attempts, mutation).Run();
+        const bool better = shortest.trace.empty() || result.trace.size() < shortest.trace.size();
+        if (!result.trace.empty() && better) shortest = result;
       }
     std::string trace;
     for (const std::string& step : shortest.trace) trace += (trace.empty() ? "" : ", ") + step;
-    BOOST_TEST_MESSAGE(mutation.name << ": " << shortest.fault << " (" << trace << ")");
-    BOOST_TEST_CONTEXT(mutation.name) BOOST_TEST(shortest.fault != "");
+    BOOST_TEST_MESSAGE(mutation.name << ": " << shortest.violation << " (" << trace << ")");
+    BOOST_TEST_CONTEXT(mutation.name) BOOST_TEST(shortest.violation != "");
   }
 }
 
