--- a/fuzz/policy.cpp
+++ b/fuzz/policy.cpp
@@ -107,7 +107,7 @@
 void CheckParts(const Policy& policy) {
   const Limits& limits = policy.limits();
   FUZZ_REQUIRE(limits.max_header_bytes > 0 && limits.header_timeout.count() > 0);
-  FUZZ_REQUIRE(limits.idle_timeout.count() > 0 && limits.idle_timeout <= kMostTime);
+  FUZZ_REQUIRE(limits.idle_timeout.count() > 0 && limits.idle_timeout <= kMaxDuration);
   for (std::size_t i = 0; i < policy.services().size(); ++i) {
     const Service& service = policy.services()[i];
     FUZZ_REQUIRE(!service.name.empty() && policy.FindService(service.name) == i);
@@ -120,10 +120,10 @@
     FUZZ_REQUIRE(std::isfinite(tenant.burst_size) && tenant.burst_size >= 0);
   }
   for (const Route& route : policy.routes()) {
-    FUZZ_REQUIRE(route.timeout.count() >= 1 && route.timeout <= kMostTime);
-    FUZZ_REQUIRE(route.target_latency.count() >= 0 && route.target_latency <= kMostTime);
-    FUZZ_REQUIRE(route.max_attempts >= 1 && !route.parts.empty());
-    for (const Part& part : route.parts) FUZZ_REQUIRE(part.service < policy.services().size());
+    FUZZ_REQUIRE(route.timeout.count() >= 1 && route.timeout <= kMaxDuration);
+    FUZZ_REQUIRE(route.target_latency.count() >= 0 && route.target_latency <= kMaxDuration);
+    FUZZ_REQUIRE(route.max_attempts >= 1 && !route.split.empty());
+    for (const WeightedService& part : route.split) FUZZ_REQUIRE(part.service < policy.services().size());
     for (const double point : {0.0, 0.618, std::nextafter(1.0, 0.0)})
       FUZZ_REQUIRE(route.ServiceAt(point) < policy.services().size());
     // Its own prefix leads to it, or the host's name is one that no Host header can give.
--- a/src/console/config_commands.cpp
+++ b/src/console/config_commands.cpp
@@ -69,7 +69,7 @@
   out << Counts(policy) << "\n";
   Table routes({"route", "service", "type", "timeout ms", "attempts"});
   for (const policy::Route& route : policy.routes())
-    routes.Row({RouteName(route), ServicesOf(policy, route), RepeatText(route.repeat),
+    routes.Row({RouteName(route), ServicesOf(policy, route), RepeatText(route.type),
                 std::to_string(route.timeout.count()), std::to_string(route.max_attempts)});
   routes.Print(out);
   if (policy.tenants().empty()) return;
--- a/src/console/config_diff.cpp
+++ b/src/console/config_diff.cpp
@@ -22,7 +22,7 @@
   for (const policy::Route& route : policy.routes())
     items[RouteName(route)].fields = {{"name", route.name},
                                       {"service", ServicesOf(policy, route)},
-                                      {"route_type", RepeatText(route.repeat)},
+                                      {"route_type", RepeatText(route.type)},
                                       {"timeout_ms", std::to_string(route.timeout.count())},
                                       {"target_latency_ms", std::to_string(route.target_latency.count())},
                                       {"priority", std::to_string(route.priority)},
@@ -103,18 +103,18 @@
 
 std::string ServicesOf(const policy::Policy& policy, const policy::Route& route) {
   std::string text;
-  for (const policy::Part& part : route.parts) {
+  for (const policy::WeightedService& part : route.split) {
     if (!text.empty()) text += ",";
     text += policy.services()[part.service].name;
-    if (route.parts.size() > 1) text += ":" + NumberText(part.weight);
+    if (route.split.size() > 1) text += ":" + NumberText(part.weight);
   }
   return text;
 }
 
 std::string RouteName(const policy::Route& route) { return route.host + route.prefix; }
 
-std::string RepeatText(policy::Repeat repeat) {
-  return repeat == policy::Repeat::kIdempotent ? "idempotent" : "non_idempotent";
+std::string RepeatText(policy::RouteType repeat) {
+  return repeat == policy::RouteType::kIdempotent ? "idempotent" : "non_idempotent";
 }
 
 Differences CompareConfigs(const policy::Policy* before, const policy::Policy& after) {
--- a/src/console/config_diff.hpp
+++ b/src/console/config_diff.hpp
@@ -27,7 +27,7 @@
 
 // A route's services by name, with their weights where there are several.
 std::string ServicesOf(const policy::Policy& policy, const policy::Route& route);
-std::string RepeatText(policy::Repeat repeat);
+std::string RepeatText(policy::RouteType repeat);
 std::string RouteName(const policy::Route& route);
 
 }  // namespace curlewdoor::console
--- a/src/policy/json_slices.cpp
+++ b/src/policy/json_slices.cpp
@@ -6,80 +6,80 @@
 namespace curlewdoor::policy {
 namespace {
 
-constexpr std::string_view kSpace = " \t\r\n";
+constexpr std::string_view kWhitespace = " \t\r\n";
 
-// Walks over a text that is known to be well formed.
-class Walk {
+// Reads a JSON text that is known to be valid.
+class SliceCursor {
  public:
-  explicit Walk(std::string_view text) : text_(text) {}
+  explicit SliceCursor(std::string_view text) : text_(text) {}
 
-  void Space() { at_ = std::min(text_.find_first_not_of(kSpace, at_), text_.size()); }
-  bool Take(char c) {
-    Space();
-    if (at_ >= text_.size() || text_[at_] != c) return false;
-    ++at_;
+  void SkipWhitespace() { offset_ = std::min(text_.find_first_not_of(kWhitespace, offset_), text_.size()); }
+  bool Consume(char c) {
+    SkipWhitespace();
+    if (offset_ >= text_.size() || text_[offset_] != c) return false;
+    ++offset_;
     return true;
   }
-  bool over() const { return at_ >= text_.size(); }
+  bool at_end() const { return offset_ >= text_.size(); }
 
   std::string_view Value() {
-    Space();
-    const std::size_t begin = at_;
+    SkipWhitespace();
+    const std::size_t begin = offset_;
     int depth = 0;
-    while (!over()) {
-      const char c = text_[at_];
+    while (!at_end()) {
+      const char c = text_[offset_];
       if (c == '"') {
         String();
       } else if (c == '{' || c == '[') {
         ++depth;
-        ++at_;
+        ++offset_;
       } else if (c == '}' || c == ']') {
-        if (depth == 0) break;  // the end of what it stands in
+        if (depth == 0) break;  // the end of the enclosing object or array
         --depth;
-        ++at_;
-      } else if (depth == 0 && (c == ',' || kSpace.find(c) != std::string_view::npos)) {
+        ++offset_;
+      } else if (depth == 0 && (c == ',' || kWhitespace.find(c) != std::string_view::npos)) {
         break;
       } else {
-        ++at_;
+        ++offset_;
         continue;
       }
       if (depth == 0) break;
     }
-    return text_.substr(begin, at_ - begin);
+    return text_.substr(begin, offset_ - begin);
   }
 
  private:
   void String() {
-    for (++at_; !over() && text_[at_] != '"'; ++at_) at_ += text_[at_] == '\\';
-    ++at_;
+    for (++offset_; !at_end() && text_[offset_] != '"'; ++offset_) offset_ += text_[offset_] == '\\';
+    ++offset_;
   }
 
   const std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
 };
 
 }  // namespace
 
-std::vector<JsonMember> MembersOf(std::string_view value) {
+std::vector<JsonMember> ObjectMembers(std::string_view value) {
   std::vector<JsonMember> members;
-  Walk walk(value);
-  if (!walk.Take('{') || walk.Take('}')) return members;
+  SliceCursor cursor(value);
+  if (!cursor.Consume('{') || cursor.Consume('}')) return members;
   do {
-    std::string_view key = walk.Value();
+    std::string_view key = cursor.Value();
     key = key.substr(1, key.size() - 2);
-    walk.Take(':');
-    members.push_back({key, walk.Value()});
-  } while (walk.Take(','));
+    cursor.Consume(':');
+    members.push_back({key, cursor.Value()});
+  } while (cursor.Consume(','));
   return members;
 }
 
-std::vector<std::string_view> ElementsOf(std::string_view value) {
+std::vector<std::string_view> ArrayElements(std::string_view value) {
   std::vector<std::string_view> elements;
-  Walk walk(value);
-  if (!walk.Take('[') || walk.Take(']')) return elements;
+  SliceCursor cursor(value);
+  if (!cursor.Consume('[') || cursor.Consume(']')) return elements;
   do {
-    elements.push_back(walk.Value());
-  } while (walk.Take(','));
+    elements.push_back(cursor.Value());
+  } while (cursor.Consume(','));
   return elements;
 }
 
--- a/src/policy/json_slices.hpp
+++ b/src/policy/json_slices.hpp
@@ -1,4 +1,5 @@
-// Parts of a JSON text, found without reading it into memory. Only for texts that ScanJson() has passed.
+// Finds the members of an object and the elements of an array in a JSON text, as slices of the text, without
+// building a tree. Only for texts that ValidateJson() has accepted.
 #pragma once
 
 #include <string_view>
@@ -6,14 +7,15 @@
 
 namespace curlewdoor::policy {
 
+// One member of an object, as slices of the text.
 struct JsonMember {
-  std::string_view key;    // as it stands, without its quotes: escapes are not resolved
-  std::string_view value;  // without white space around it
+  std::string_view key;    // without its quotes; escape sequences are not decoded
+  std::string_view value;  // without surrounding white space
 };
 
-// Of an object; empty for any other value.
-std::vector<JsonMember> MembersOf(std::string_view value);
-// Of a list; empty for any other value.
-std::vector<std::string_view> ElementsOf(std::string_view value);
+// The members of an object; empty for any other value.
+std::vector<JsonMember> ObjectMembers(std::string_view value);
+// The elements of an array; empty for any other value.
+std::vector<std::string_view> ArrayElements(std::string_view value);
 
 }  // namespace curlewdoor::policy
--- a/src/policy/package.cmake
+++ b/src/policy/package.cmake
@@ -1,4 +1,5 @@
-add_library(curlewdoor_policy STATIC src/policy/policy.cpp src/policy/json_scan.cpp src/policy/json_slices.cpp
+# The operators' configuration: validation, routes, tenants, and traffic splits. Pure.
+add_library(curlewdoor_policy STATIC src/policy/policy.cpp src/policy/json_validator.cpp src/policy/json_slices.cpp
                                      src/policy/split_sequence.cpp)
 target_include_directories(curlewdoor_policy PUBLIC src)
 target_link_libraries(curlewdoor_policy PRIVATE ${CJSON})
--- a/src/policy/split_sequence.hpp
+++ b/src/policy/split_sequence.hpp
@@ -1,8 +1,9 @@
-// The order in which one gateway spreads a route's requests over the parts of its `traffic_split`. Pure.
+// Distributes the requests of a route over the services of its `traffic_split`, at one gateway. Pure.
 //
-// Each route has a sequence of points from 0 to below 1 in steps of the golden ratio: of any so many points
-// in a row, nearly the same part lies in each interval, and so goes to each service. Parts picked by chance
-// would be off by some 3 in 100 over 300 requests. Gateways begin at points of their own.
+// Each route has a sequence of points in [0, 1) that advances by the golden ratio. Among any number of
+// consecutive points, the share in each interval is close to the interval's length, so each service gets
+// close to its weight. With random selection, shares would be off by about 3 percentage points over 300
+// requests. Each gateway starts its sequences at other points.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +14,22 @@
 
 namespace curlewdoor::policy {
 
+// The sequences of all routes that split their traffic.
 class SplitSequence {
  public:
-  // `seed`: another one in each process.
+  // `seed` must differ between processes.
   explicit SplitSequence(std::uint64_t seed) : seed_(seed) {}
 
   // The service for the route's next request, an index into Policy::services().
   std::size_t Next(const Route& route);
-  // Forgets routes that this policy doesn't have, or doesn't split.
+  // Removes the sequences of routes that this policy does not have or does not split.
   void OnPolicy(const Policy& policy);
   std::size_t size() const { return points_.size(); }
 
  private:
   const std::uint64_t seed_;
-  std::unordered_map<std::string, std::uint64_t> points_;  // by route: the last one, in parts of 2^64
+  std::unordered_map<std::string, std::uint64_t>
+      points_;  // by route name: the latest point, as a fraction of 2^64
 };
 
 }  // namespace curlewdoor::policy
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -162,7 +162,7 @@
           ? Duration(route->timeout)
           : std::min<Duration>(route->timeout, milliseconds(std::min<std::uint64_t>(deadline, 86'400'000)));
   request.expires = request.arrived + left;
-  request.course = retry::AttemptSequence(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
+  request.course = retry::AttemptSequence(route->type == policy::RouteType::kIdempotent, route->max_attempts);
   request.rank =
       static_cast<int>(std::lower_bound(ranks_.begin(), ranks_.end(), route->priority) - ranks_.begin());
   if (!told.empty()) request.spent = pressure_.Spent(request.arrived, route->name, milliseconds(deadline));
@@ -178,7 +178,7 @@
 bool Front::MayGoAhead(const http::Message& message) const {
   if (policy_ == nullptr || message.method() != HTTP_GET) return false;
   const policy::Route* route = policy_->FindRoute(message.Find("Host"), OriginForm(message.target()));
-  return route != nullptr && route->repeat == policy::Repeat::kIdempotent;
+  return route != nullptr && route->type == policy::RouteType::kIdempotent;
 }
 
 void Front::Begin(RequestId id) {
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -33,15 +33,15 @@
     R"({"name":"r-order","path_prefix":"/order/","route_type":"non_idempotent","timeout_ms":600,)"
     R"("target_latency_ms":250,"priority":1,"service":"bread","max_attempts":1,"public_access":false}]}]})";
 
-std::string Changed(std::string_view from, std::string_view to) {
+std::string DocumentWith(std::string_view from, std::string_view to) {
   std::string text(kDocument);
   const std::size_t at = text.find(from);
   BOOST_REQUIRE_MESSAGE(at != std::string::npos, "the document has no " << from);
   return text.replace(at, from.size(), to);
 }
 
-// What is wrong with the text; empty if nothing.
-std::string Fault(const std::string& text) {
+// The error for this text; empty if it is valid.
+std::string ErrorOf(const std::string& text) {
   try {
     Policy::Read(text);
   } catch (const PolicyError& error) {
@@ -53,14 +53,15 @@
 struct Change {
   std::string_view from;
   std::string_view to;
-  std::string_view fault;  // part of what() has to say; empty: the document stays valid
+  std::string_view expected_error;  // part of what(); empty if the document stays valid
 };
 
 void Check(const Change& change) {
-  const std::string fault = Fault(Changed(change.from, change.to));
-  const bool right = change.fault.empty() ? fault.empty() : fault.find(change.fault) != std::string::npos;
-  BOOST_CHECK_MESSAGE(
-      right, change.from << " -> " << change.to << ": \"" << fault << "\", not \"" << change.fault << "\"");
+  const std::string error = ErrorOf(DocumentWith(change.from, change.to));
+  const bool matches =
+      change.expected_error.empty() ? error.empty() : error.find(change.expected_error) != std::string::npos;
+  BOOST_CHECK_MESSAGE(matches, change.from << " -> " << change.to << ": \"" << error << "\", not \""
+                                           << change.expected_error << "\"");
 }
 
 }  // namespace
@@ -86,18 +87,18 @@
   BOOST_TEST(soup.name == "r-soup");
   BOOST_TEST(soup.host == "kitchen.example");
   BOOST_TEST(soup.prefix == "/menu/");
-  BOOST_TEST((soup.repeat == Repeat::kIdempotent));
+  BOOST_TEST((soup.type == RouteType::kIdempotent));
   BOOST_TEST((soup.timeout == milliseconds(500)));
   BOOST_TEST((soup.target_latency == milliseconds(200)));
   BOOST_TEST(soup.priority == 2);
   BOOST_TEST(soup.max_attempts == 2);
   BOOST_TEST(!soup.public_access);
-  BOOST_REQUIRE(soup.parts.size() == 3u);
-  BOOST_TEST(soup.parts[1].service == 1u);
-  BOOST_TEST(soup.parts[1].weight == 10);
+  BOOST_REQUIRE(soup.split.size() == 3u);
+  BOOST_TEST(soup.split[1].service == 1u);
+  BOOST_TEST(soup.split[1].weight == 10);
   BOOST_TEST(policy->routes()[1].public_access);
-  BOOST_TEST((policy->routes()[2].repeat == Repeat::kNonIdempotent));
-  BOOST_REQUIRE(policy->routes()[2].parts.size() == 1u);
+  BOOST_TEST((policy->routes()[2].type == RouteType::kNonIdempotent));
+  BOOST_REQUIRE(policy->routes()[2].split.size() == 1u);
   BOOST_TEST(policy->routes()[2].ServiceAt(0.77) == 2u);
 }
 
@@ -128,7 +129,7 @@
 BOOST_AUTO_TEST_CASE(finds_the_longest_prefix) {
   const auto policy = Policy::Read(std::string(kDocument));
   struct Case {
-    std::string_view host, target, route;  // an empty route: none
+    std::string_view host, target, route;  // an empty route means that none matches
   };
   for (const Case& c : std::initializer_list<Case>{{"kitchen.example", "/menu/", "r-soup"},
                                                    {"kitchen.example", "/menu/1?x=/deep/", "r-soup"},
@@ -158,7 +159,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(one_host_may_be_listed_twice) {
-  const auto policy = Policy::Read(Changed("Bakery.Example", "KITCHEN.example:80"));
+  const auto policy = Policy::Read(DocumentWith("Bakery.Example", "KITCHEN.example:80"));
   BOOST_REQUIRE(policy->FindRoute("kitchen.example", "/order/9"));
   BOOST_REQUIRE(policy->FindRoute("kitchen.example", "/menu/9"));
 }
@@ -218,7 +219,7 @@
            // tenants
            {R"("tenants":[)", R"("tenants":{},"x":[)", "tenants: not a list"},
            {R"("name":"berta")", R"("name":"anna")", "tenants[1].name: another tenant"},
-           {R"("name":"berta")", R"("name":"ber\r\nta")", "tenants[1].name: holds a control"},
+           {R"("name":"berta")", R"("name":"ber\r\nta")", "tenants[1].name: contains a control"},
            {R"("name":"berta",)", "", "tenants[1].name: missing"},
            {R"("key-b1")", R"("key-b1","key-a2")", "tenants[1].api_keys: its key 1"},
            {R"("key-b1")", R"(5)", "tenants[1].api_keys[0]: not a string"},
@@ -241,12 +242,12 @@
            {R"("service":"bread","max_attempts":3)", R"("max_attempts":3)",
             "backend_hosts[0].url_paths[1].service: missing"},
            {R"("traffic_split")", R"("service":"soup","traffic_split")",
-            "backend_hosts[0].url_paths[0].traffic_split: stands beside"},
+            "backend_hosts[0].url_paths[0].traffic_split: must not be given together"},
            {R"("service":"bread","max_attempts":3)", R"("traffic_split":[],"max_attempts":3)",
-            "backend_hosts[0].url_paths[1].traffic_split: no part"},
+            "backend_hosts[0].url_paths[1].traffic_split: no entry"},
            {R"("service":"bread","max_attempts":3)",
             R"("traffic_split":[{"service":"soup","weight":0}],"max_attempts":3)",
-            "backend_hosts[0].url_paths[1].traffic_split: no part"},
+            "backend_hosts[0].url_paths[1].traffic_split: no entry"},
            {R"("weight":90)", R"("weight":-90)", "url_paths[0].traffic_split[0].weight: negative"},
            {R"(,"weight":90)", "", "url_paths[0].traffic_split[0].weight: missing"},
            {R"("weight":90)", R"("weight":"90")", "url_paths[0].traffic_split[0].weight: not a number"},
@@ -264,7 +265,8 @@
            {R"("max_attempts":3)", R"("max_attempts":1.5)", "url_paths[1].max_attempts: not a whole"},
            {R"("max_attempts":3)", R"("max_attempts":"3")", "url_paths[1].max_attempts: not a number"},
            {R"("max_attempts":3,)", "", "url_paths[1].max_attempts: missing"},
-           {R"("non_idempotent")", R"("Idempotent")", "backend_hosts[1].url_paths[0].route_type: no kind"},
+           {R"("non_idempotent")", R"("Idempotent")",
+            "backend_hosts[1].url_paths[0].route_type: unknown route type"},
            {R"("route_type":"non_idempotent",)", "", "backend_hosts[1].url_paths[0].route_type: missing"},
            {R"("/menu/deep/")", R"("/menu/")", "backend_hosts[0].url_paths[1].path_prefix: another route"},
            {R"("/order/")", R"("/order")", "backend_hosts[1].url_paths[0].path_prefix: does not"},
@@ -275,9 +277,9 @@
            {R"("name":"r-soup")", R"("name":[])", "url_paths[0].name: not a string"}}) {
     Check(change);
   }
-  std::string same_place(Changed("Bakery.Example", "Kitchen.EXAMPLE:80"));
+  std::string same_place(DocumentWith("Bakery.Example", "Kitchen.EXAMPLE:80"));
   same_place.replace(same_place.find("/order/"), 7, "/menu/");
-  BOOST_TEST(Fault(same_place).find("backend_hosts[1].url_paths[0].path_prefix: another") == 0u);
+  BOOST_TEST(ErrorOf(same_place).find("backend_hosts[1].url_paths[0].path_prefix: another") == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(takes_what_is_unusual_but_valid) {
@@ -293,10 +295,11 @@
            {R"("public_access":true)", R"("x":[])", ""}}) {
     Check(change);
   }
-  BOOST_TEST(Fault(std::string(kDocument) + "\r\n ") == "");
+  BOOST_TEST(ErrorOf(std::string(kDocument) + "\r\n ") == "");
 }
 
-// The long lists are read element by element; what the document says of them is the same as if it were whole.
+// The long arrays are parsed element by element. Duplicate and escaped members must give the same result as
+// if the whole document were parsed at once.
 BOOST_AUTO_TEST_CASE(the_first_list_of_a_name_counts) {
   Check({R"({"config_version")", R"({"services":[],"config_version")", "no service is named"});
   Check({R"({"config_version")", R"({"services":null,"config_version")", "services: not a list"});
@@ -313,7 +316,7 @@
          R"("route_type":"idempotent","timeout_ms":1,"service":"soup","max_attempts":1},)"
          R"({"name":"r-order","path_prefix":"/order/",)",
          "backend_hosts[1].url_paths[1].path_prefix: another route"});
-  const auto policy = Policy::Read(Changed(R"(false}]}]})", R"(false}]}],"services":[],"tenants":[]})"));
+  const auto policy = Policy::Read(DocumentWith(R"(false}]}]})", R"(false}]}],"services":[],"tenants":[]})"));
   BOOST_TEST(policy->services().size() == 3u);
   BOOST_TEST(policy->tenants().size() == 3u);
 }
@@ -321,32 +324,32 @@
 BOOST_AUTO_TEST_CASE(refuses_each_truncation_and_all_that_follows) {
   const std::string text(kDocument);
   for (std::size_t size = 0; size < text.size(); ++size) {
-    BOOST_CHECK_MESSAGE(Fault(text.substr(0, size)).starts_with("document: "), "cut to " << size);
+    BOOST_CHECK_MESSAGE(ErrorOf(text.substr(0, size)).starts_with("document: "), "cut to " << size);
   }
   for (const std::string& more : std::vector<std::string>{"x", "{}", ",", std::string(1, '\0'), text}) {
-    BOOST_TEST(Fault(text + more).starts_with("document: more text"));
+    BOOST_TEST(ErrorOf(text + more).starts_with("document: trailing text"));
   }
 }
 
 BOOST_AUTO_TEST_CASE(refuses_the_deep_and_the_long_quickly) {
-  const std::clock_t start = std::clock();  // processor time: others may be at work beside
-  const std::string lists(10'000, '[');
-  BOOST_TEST(Fault(lists).starts_with("document: nested too deep"));
-  BOOST_TEST(Fault(Changed(":12,", ":12,\"x\":" + lists + std::string(10'000, ']') + ","))
+  const std::clock_t start = std::clock();  // CPU time, since other processes may be running
+  const std::string brackets(10'000, '[');
+  BOOST_TEST(ErrorOf(brackets).starts_with("document: nested too deep"));
+  BOOST_TEST(ErrorOf(DocumentWith(":12,", ":12,\"x\":" + brackets + std::string(10'000, ']') + ","))
                  .starts_with("document: nested too deep"));
-  BOOST_TEST(Fault(std::string(64 << 20, ' ')).starts_with("document: longer"));
-  BOOST_TEST(Fault(std::string(kMostText, '[')).starts_with("document: nested too deep"));
+  BOOST_TEST(ErrorOf(std::string(64 << 20, ' ')).starts_with("document: longer"));
+  BOOST_TEST(ErrorOf(std::string(kMaxDocumentBytes, '[')).starts_with("document: nested too deep"));
   std::string many = "[0";
-  while (many.size() < kMostText - 3) many += ",0";
-  BOOST_TEST(Fault(many + "]").starts_with("document: too many values"));
+  while (many.size() < kMaxDocumentBytes - 3) many += ",0";
+  BOOST_TEST(ErrorOf(many + "]").starts_with("document: too many values"));
   BOOST_TEST((std::clock() - start < 2 * CLOCKS_PER_SEC));
-  // 63 lists within the document are the deepest; brackets in strings don't count.
+  // 63 arrays within the document object are the deepest allowed; brackets in strings don't count.
   const auto nested = [](std::size_t n) {
-    return Changed(":12,", ":12,\"y\":\"" + std::string(100, '[') + "\",\"x\":" + std::string(n, '[') +
-                               std::string(n, ']') + ",");
+    return DocumentWith(":12,", ":12,\"y\":\"" + std::string(100, '[') + "\",\"x\":" + std::string(n, '[') +
+                                    std::string(n, ']') + ",");
   };
-  BOOST_TEST(Fault(nested(kMostDepth - 1)) == "");
-  BOOST_TEST(Fault(nested(kMostDepth)).starts_with("document: nested too deep"));
+  BOOST_TEST(ErrorOf(nested(kMaxNestingDepth - 1)) == "");
+  BOOST_TEST(ErrorOf(nested(kMaxNestingDepth)).starts_with("document: nested too deep"));
 }
 
 BOOST_AUTO_TEST_CASE(reads_many_routes) {
