--- a/src/registry_replication/lease.cpp
+++ b/src/registry_replication/lease.cpp
@@ -9,70 +9,73 @@
 
 using std::chrono::milliseconds;
 
-RegistryLease::Options RegistryLease::OptionsFor(Duration drain) {
-  constexpr Duration kLeastAskEvery = milliseconds(50), kMostAskEvery = milliseconds(350);
+RegistryLease::Options RegistryLease::OptionsFor(Duration drain_time) {
+  constexpr Duration kMinQueryInterval = milliseconds(50), kMaxQueryInterval = milliseconds(350);
   Options options;
-  options.lasts = drain * 6 / 10;
-  options.ask_every = std::clamp(options.lasts / 3, kLeastAskEvery, kMostAskEvery);
+  options.validity = drain_time * 6 / 10;
+  options.query_interval = std::clamp(options.validity / 3, kMinQueryInterval, kMaxQueryInterval);
   return options;
 }
 
-void RegistryLease::SetRoster(Roster roster) {
-  if (roster.epoch <= roster_.epoch) return;
-  roster_ = std::move(roster);
-  answered_.clear();
+void RegistryLease::SetMembership(Membership membership) {
+  if (membership.epoch <= membership_.epoch) return;
+  membership_ = std::move(membership);
+  answered_queries_.clear();
 }
 
 bool RegistryLease::Tick(Time now) {
-  if (ticked_at_) {
-    const Duration passed = now - *ticked_at_;
-    if (passed > options_.run_gap) {  // paused: whoever was silent before may answer now
+  if (last_tick_at_) {
+    const Duration passed = now - *last_tick_at_;
+    if (passed >
+        options_.pause_threshold) {  // after a pause, members that did not answer before may answer now
       waited_ = {};
-      long_away_ = long_away_ || passed >= options_.lasts;
-    } else if (open_since_) {
+      long_pause_ = long_pause_ || passed >= options_.validity;
+    } else if (unanswered_since_) {
       waited_ += passed;
     }
   }
-  ticked_at_ = now;
-  return !asked_at_ || now - *asked_at_ >= options_.ask_every;
+  last_tick_at_ = now;
+  return !last_query_at_ || now - *last_query_at_ >= options_.query_interval;
 }
 
-void RegistryLease::Asked(Time now) {
-  asked_at_ = now;
-  if (open_since_) return;
-  open_since_ = now;
+void RegistryLease::OnQuerySent(Time now) {
+  last_query_at_ = now;
+  if (unanswered_since_) return;
+  unanswered_since_ = now;
   waited_ = {};
 }
 
-void RegistryLease::OnAnswer(Time now, Time asked, const Standing& standing) {
-  if (asked > now) return;
-  if (!standing.votes || standing.epoch != roster_.epoch || !roster_.Holds(standing.member)) return;
-  Time& answered = answered_.try_emplace(standing.member, asked).first->second;
-  answered = std::max(answered, asked);
-  Weigh();
+void RegistryLease::OnAnswer(Time now, Time asked_at, const MemberStatus& status) {
+  if (asked_at > now) return;
+  if (!status.votes || status.epoch != membership_.epoch || !membership_.Contains(status.member)) return;
+  Time& answered = answered_queries_.try_emplace(status.member, asked_at).first->second;
+  answered = std::max(answered, asked_at);
+  UpdateProof();
 }
 
-// The list is proved as of the oldest question among the latest ones that a majority has answered.
-void RegistryLease::Weigh() {
-  if (answered_.size() < roster_.majority()) return;
+// The proof dates from the oldest among the latest answered queries of a majority: the majority-th latest
+// one.
+void RegistryLease::UpdateProof() {
+  if (answered_queries_.size() < membership_.majority()) return;
   std::vector<Time> times;
-  for (const auto& [member, time] : answered_) times.push_back(time);
-  const auto oldest = times.begin() + static_cast<std::ptrdiff_t>(roster_.majority() - 1);
+  for (const auto& [member, time] : answered_queries_) times.push_back(time);
+  const auto oldest = times.begin() + static_cast<std::ptrdiff_t>(membership_.majority() - 1);
   std::nth_element(times.begin(), oldest, times.end(), std::greater<>());
   if (proved_at_ && *oldest <= *proved_at_) return;
   proved_at_ = *oldest;
-  if (!open_since_ || *proved_at_ < *open_since_) return;
-  open_since_.reset();
+  if (!unanswered_since_ || *proved_at_ < *unanswered_since_) return;
+  unanswered_since_.reset();
   waited_ = {};
-  long_away_ = false;
+  long_pause_ = false;
 }
 
-bool RegistryLease::GivenUp(Time now) const {
-  const bool running = ticked_at_ && now - *ticked_at_ <= options_.run_gap;
-  return running && open_since_ && waited_ >= (long_away_ ? options_.wait_long_away : options_.wait);
+bool RegistryLease::IsProofUnavailable(Time now) const {
+  const bool running = last_tick_at_ && now - *last_tick_at_ <= options_.pause_threshold;
+  return running && unanswered_since_ &&
+         waited_ >= (long_pause_ ? options_.max_wait_after_long_pause : options_.max_wait);
 }
 
-std::optional<Duration> RegistryLease::Age(Time now) const {
+std::optional<Duration> RegistryLease::ProofAge(Time now) const {
   if (!proved_at_) return std::nullopt;
   return now - *proved_at_;
 }
--- a/src/registry_replication/lease.hpp
+++ b/src/registry_replication/lease.hpp
@@ -1,14 +1,14 @@
-// How long a gateway may send requests by the list of hosts that it has. Pure: time comes in.
+// The lease under which a gateway sends requests to the hosts in its list. Pure: the time is an argument.
 //
-// The gateway asks all core members again and again. A member answers on the stream on which it sends news,
-// behind all that it held when the question came, so an answer proves that the list here holds what that
-// member held at the time of the question. With answers of a majority, the list holds every leave that was
-// acknowledged before the oldest of these questions. The lease lasts from that time on; `lasts` is shorter
-// than drain_ms, and only this gateway's clock counts. A process that was paused finds its lease run out at
-// the next request, however it was paused.
+// The gateway queries all core members periodically. A member answers on the stream that carries its updates,
+// after all updates that it held when the query arrived. An answer therefore proves that the list here holds
+// everything that the member held at the time of the query. With answers from a majority, the list holds
+// every leave that was acknowledged before the oldest of these queries. The lease runs from that time for
+// `validity`, which is shorter than drain_ms. Only this gateway's clock is involved: after a pause of any
+// kind, a process finds its lease expired at the next request.
 //
-// While no majority answers, though the process runs and asks, the list can't be proved and requests go on by
-// it: such a gateway is out of touch with the core, and no service at all would be worse.
+// While the process runs and queries but no majority answers, the list can't be proved. Requests are then
+// sent without a proof: the gateway is cut off from the core, and refusing all requests would be worse.
 #pragma once
 
 #include <chrono>
@@ -22,51 +22,55 @@
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
+// Tracks queries, answers and the proof of the local host list.
 class RegistryLease {
  public:
   struct Options {
-    Duration lasts = std::chrono::milliseconds(1200);
-    Duration ask_every = std::chrono::milliseconds(350);
-    Duration wait = std::chrono::milliseconds(500);  // running time without a proof: then it is done without
-    // The same after a pause of `lasts` or more: its list is older than any proof, and its streams come up
-    // anew.
-    Duration wait_long_away = std::chrono::milliseconds(2000);
-    Duration run_gap = std::chrono::milliseconds(250);  // more than this between two ticks is a pause
+    Duration validity = std::chrono::milliseconds(1200);
+    Duration query_interval = std::chrono::milliseconds(350);
+    // After this much running time without a proof, requests are sent without one.
+    Duration max_wait = std::chrono::milliseconds(500);
+    // The same after a pause of `validity` or more: the list is then older than any valid proof, and the
+    // streams are being re-established.
+    Duration max_wait_after_long_pause = std::chrono::milliseconds(2000);
+    Duration pause_threshold = std::chrono::milliseconds(250);  // a longer time between two ticks is a pause
   };
-  // Of drain_ms: half of it is left for the way to the host and for a slow process.
-  static Options OptionsFor(Duration drain);
+  // Options for a drain time (drain_ms). The rest of the drain time is left for delivery to the host and for
+  // slow processes.
+  static Options OptionsFor(Duration drain_time);
 
   explicit RegistryLease(Options options) : options_(options) {}
 
-  // Epochs only rise; an older or the same one changes nothing.
-  void SetRoster(Roster roster);
-  // Regularly while the process runs, at least every run_gap / 2. True: all members are to be asked now.
+  // Epochs only increase; an older or equal epoch changes nothing.
+  void SetMembership(Membership membership);
+  // Called regularly while the process runs, at least every pause_threshold / 2. Returns true if all members
+  // must be queried now.
   bool Tick(Time now);
-  void Asked(Time now);
-  // A member of the roster answers a question of this process. `asked`: its time, as the answer echoes it.
-  void OnAnswer(Time now, Time asked, const Standing& standing);
+  void OnQuerySent(Time now);
+  // A member answered a query of this process. `asked_at` is the time of the query, as echoed by the answer.
+  void OnAnswer(Time now, Time asked_at, const MemberStatus& status);
 
-  // A majority has proved the list, of late.
-  bool Proved(Time now) const { return proved_at_ && now < *proved_at_ + options_.lasts; }
-  // Requests may be sent by the list: it is proved, or a proof can't be had.
-  bool MaySend(Time now) const { return Proved(now) || GivenUp(now); }
-  bool GivenUp(Time now) const;
-  std::optional<Duration> Age(Time now) const;                  // of the list's proof
-  std::optional<Time> proved_at() const { return proved_at_; }  // the oldest of the questions that prove it
-  std::uint64_t epoch() const { return roster_.epoch; }
+  // A majority has proved the list, and the lease has not expired.
+  bool IsProved(Time now) const { return proved_at_ && now < *proved_at_ + options_.validity; }
+  // Requests may be sent to the hosts in the list: it is proved, or a proof is unavailable.
+  bool MaySend(Time now) const { return IsProved(now) || IsProofUnavailable(now); }
+  bool IsProofUnavailable(Time now) const;
+  std::optional<Duration> ProofAge(Time now) const;             // since the list was proved
+  std::optional<Time> proved_at() const { return proved_at_; }  // the oldest query of the proof
+  std::uint64_t epoch() const { return membership_.epoch; }
 
  private:
-  void Weigh();
+  void UpdateProof();
 
   const Options options_;
-  Roster roster_;
+  Membership membership_;
   std::map<MemberId, Time>
-      answered_;  // members of roster_: the time of the latest question that each answered
+      answered_queries_;  // by member of membership_: the time of the latest query that it has answered
   std::optional<Time> proved_at_;
-  std::optional<Time> open_since_;  // of the oldest question after the proof
-  std::optional<Time> asked_at_, ticked_at_;
-  Duration waited_{};       // running time since open_since_
-  bool long_away_ = false;  // since the last proof
+  std::optional<Time> unanswered_since_;  // time of the oldest query since the proof
+  std::optional<Time> last_query_at_, last_tick_at_;
+  Duration waited_{};        // running time since unanswered_since_
+  bool long_pause_ = false;  // a pause of `validity` or more since the last proof
 };
 
 }  // namespace curlewdoor::registry_replication
--- a/src/registry_replication/record.hpp
+++ b/src/registry_replication/record.hpp
@@ -1,4 +1,4 @@
-// What a core member keeps of the service registry on its disk, as bytes (msgpack). Pure.
+// Encoding of the service registry's state that a core member stores on disk (msgpack). Pure.
 #pragma once
 
 #include <optional>
@@ -9,13 +9,14 @@
 
 namespace curlewdoor::registry_replication {
 
-struct KeptRegistry {
+// The stored state: the replica's record and the leaves that it holds.
+struct StoredRegistry {
   ReplicaRecord record{};
-  std::string leaves{};  // of hosts, in the form of the directory's codec
+  std::string leaves{};  // of hosts, as encoded by directory/codec.hpp
 };
 
-std::string Encode(const KeptRegistry& kept);
-// Never throws: nullopt if the bytes are cut, foreign or of a later format.
-std::optional<KeptRegistry> Decode(std::string_view bytes);
+std::string Encode(const StoredRegistry& stored);
+// Returns nullopt if the bytes are truncated, malformed or of a newer format. Does not throw.
+std::optional<StoredRegistry> Decode(std::string_view bytes);
 
 }  // namespace curlewdoor::registry_replication
--- a/src/registry_replication/watermark.cpp
+++ b/src/registry_replication/watermark.cpp
@@ -11,19 +11,19 @@
   return true;
 }
 
-void Watermark::OnAnswer(const Standing& standing) { held_[standing.member] = standing; }
+void Watermark::OnAnswer(const MemberStatus& status) { statuses_[status.member] = status; }
 
-bool Watermark::Tick(Time now, const Roster& roster, const Standing& own) {
-  std::erase_if(held_, [&](const auto& each) { return !roster.Holds(each.first); });
-  if (!own.votes || own.epoch != roster.epoch) return false;
+bool Watermark::Tick(Time now, const Membership& membership, const MemberStatus& local) {
+  std::erase_if(statuses_, [&](const auto& entry) { return !membership.Contains(entry.first); });
+  if (!local.votes || local.epoch != membership.epoch) return false;
   if (since_ == Time{}) since_ = now;
   if (now - since_ < period_) return false;
-  held_[own.member] = own;
-  const auto holders = std::count_if(held_.begin(), held_.end(), [&](const auto& each) {
-    const Standing& standing = each.second;
-    return standing.votes && standing.epoch == roster.epoch && standing.watermark >= value_;
+  statuses_[local.member] = local;
+  const auto holder_count = std::count_if(statuses_.begin(), statuses_.end(), [&](const auto& entry) {
+    const MemberStatus& status = entry.second;
+    return status.votes && status.epoch == membership.epoch && status.watermark >= value_;
   });
-  if (static_cast<std::size_t>(holders) < roster.majority()) return false;
+  if (static_cast<std::size_t>(holder_count) < membership.majority()) return false;
   return Adopt(now, value_ + 1);
 }
 
--- a/src/registry_replication/watermark.hpp
+++ b/src/registry_replication/watermark.hpp
@@ -1,15 +1,16 @@
-// The service registry's watermark: a number that rises by one a period and says what is old. Pure.
+// The service registry's watermark: a logical clock that increases by one per period and dates entries. Pure.
 //
-// What has left is forgotten after some time, and a process that was stopped, cut off or restarted meanwhile
-// would bring it back. So each claim that a host is here is stamped with the watermark of the process that
-// read the host's beat, or had its list proved (directory/directory.hpp), and claims whose stamps are too far
-// behind aren't taken.
+// Leaves are forgotten after some time. A process that was stopped, cut off or restarted meanwhile could then
+// bring a removed host back. Each claim that a host exists is therefore stamped with the watermark of the
+// process that read the host's heartbeat or had its list proved (directory/directory.hpp), and claims with
+// stamps too far behind are rejected.
 //
-// A member raises it once a majority of the epoch's members, voting, hold the present one on disk and the
-// period has passed here. So no watermark is anywhere that is more than one above what a majority holds, and
-// a proof by a majority's answers (registry_replication/lease.hpp) names the one that a majority held, or a
-// higher one. Nothing rests on who raises it, how many do, or whose clock says that the period has passed; a
-// fast clock makes periods shorter. Everyone takes over a higher one from whoever names it.
+// A member increases the watermark once a majority of the epoch's members, all voting, hold the current value
+// on disk and the period has passed on its own clock. So no process has a watermark more than one above what
+// a majority holds, and a proof by a majority's answers (registry_replication/lease.hpp) reports the value
+// that a majority held, or a higher one. Correctness does not depend on which members increase it, how many
+// do, or whose clock measures the period; a fast clock only makes periods shorter. Every process adopts any
+// higher value that it receives.
 #pragma once
 
 #include <chrono>
@@ -20,6 +21,7 @@
 
 namespace curlewdoor::registry_replication {
 
+// This process's view of the watermark.
 class Watermark {
  public:
   using Time = std::chrono::steady_clock::time_point;
@@ -27,20 +29,20 @@
 
   explicit Watermark(Duration period) : period_(period) {}
 
-  std::uint64_t value() const { return value_; }  // 1 at first
-  Time since() const { return since_; }           // that it is what it is, here
-  // Heard of, or read from the disk. True: it has risen here.
+  std::uint64_t value() const { return value_; }  // starts at 1
+  Time since() const { return since_; }           // when this process reached the current value
+  // Takes a value that was received or read from disk. Returns true if it is higher than the current one.
   bool Adopt(Time now, std::uint64_t value);
-  // A member's answer: what its disk holds.
-  void OnAnswer(const Standing& standing);
-  // At a member, regularly; `own` is its standing. True: it has risen.
-  bool Tick(Time now, const Roster& roster, const Standing& own);
+  // Records a member's answer, which tells what its disk holds.
+  void OnAnswer(const MemberStatus& status);
+  // Called regularly at a member; `local` is its own status. Returns true if the watermark was increased.
+  bool Tick(Time now, const Membership& membership, const MemberStatus& local);
 
  private:
   const Duration period_;
   std::uint64_t value_ = 1;
   Time since_{};
-  std::map<MemberId, Standing> held_;  // of the roster's members, as they answered last
+  std::map<MemberId, MemberStatus> statuses_;  // latest status of each member
 };
 
 }  // namespace curlewdoor::registry_replication
--- a/src/system/front_dialect.cpp
+++ b/src/system/front_dialect.cpp
@@ -36,7 +36,7 @@
     ++figures_.written_to_leaving;
     events::Say(events::Event::kWrittenToLeaving, request.instance);
   }
-  if (knowledge_.hosts != nullptr && !knowledge_.hosts->Proved(RegistryNow())) ++figures_.unproved;
+  if (knowledge_.hosts != nullptr && !knowledge_.hosts->IsProved(RegistryNow())) ++figures_.unproved;
   const auto line = [&](std::string_view name, std::string_view value) {
     out.append(name).append(": ").append(value).append("\r\n");
   };
--- a/src/system/message.hpp
+++ b/src/system/message.hpp
@@ -45,7 +45,7 @@
 struct HostsReplicated {  // versions that know no votes send the number alone
   std::uint64_t number = 0;
   std::uint64_t incarnation = 0, epoch = 0,
-                complete_epoch = 0;  // registry_replication::Standing of the sender
+                complete_epoch = 0;  // registry_replication::MemberStatus of the sender
   bool votes = false;
 };
 struct Put {  // an operator's configuration, checked; owed: a Done
@@ -130,7 +130,7 @@
 struct RegistryAnswer {
   std::int64_t asked_us = 0;
   std::uint64_t incarnation = 0, epoch = 0,
-                complete_epoch = 0;  // registry_replication::Standing of the sender
+                complete_epoch = 0;  // registry_replication::MemberStatus of the sender
   bool votes = false;
   std::uint64_t watermark = 0;
 };
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -67,7 +67,7 @@
     Steady ends, again;
     std::string batch;
     std::vector<std::uint64_t> streams;  // that it went out on
-    registry_replication::HolderVotes votes;
+    registry_replication::LeaveVotes votes;
   };
   // An answer that is owed once the disk holds a leave; stream 0: to a replication of this process.
   struct OwedVote {
@@ -191,8 +191,8 @@
   void OnWatermark();
   void ConfirmHosts();
   void TellCompleteMembers();
-  registry_replication::Roster RegistryRoster() const;
-  registry_replication::Standing OwnStanding() const;
+  registry_replication::Membership RegistryRoster() const;
+  registry_replication::MemberStatus OwnStanding() const;
 
   // Core.
   void OpenCore();
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -111,7 +111,7 @@
   registry_replica_.emplace(registry_replication::MemberId{settings_.node_name, disk_});
   if (const auto leaves = known && read ? storage_->Read(kLeavesKey) : std::nullopt) RestoreLeaves(*leaves);
   registry_replica_->Adopt(Now(), RegistryRoster());
-  registry_lease_.SetRoster(RegistryRoster());
+  registry_lease_.SetMembership(RegistryRoster());
 }
 
 std::vector<Node::CoreMember> Node::RosterOfCore() const {
@@ -293,7 +293,7 @@
   if (epoch <= epoch_) return;
   epoch_ = epoch;
   members_ = std::move(members);
-  registry_lease_.SetRoster(RegistryRoster());
+  registry_lease_.SetMembership(RegistryRoster());
   if (registry_replica_) registry_replica_->Adopt(Now(), RegistryRoster());
   if (founding_) founding_->StopProposing();
   std::string names;
--- a/src/system/node_registry.cpp
+++ b/src/system/node_registry.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 template <typename Answer>
-registry_replication::Standing StandingOf(const Link::Stream& stream, const Answer& answer) {
+registry_replication::MemberStatus StandingOf(const Link::Stream& stream, const Answer& answer) {
   return {
       {stream.name, answer.incarnation}, answer.epoch, answer.complete_epoch, answer.votes, answer.watermark};
 }
 
 }  // namespace
 
-registry_replication::Roster Node::RegistryRoster() const {
-  registry_replication::Roster roster{epoch_, {}};
+registry_replication::Membership Node::RegistryRoster() const {
+  registry_replication::Membership roster{epoch_, {}};
   for (const CoreMember& member : members_) roster.members.push_back({member.name, member.disk});
   return roster;
 }
@@ -33,8 +33,8 @@
   core_->SetComplete(registry_replica_->epoch(), std::move(complete));
 }
 
-registry_replication::Standing Node::OwnStanding() const {
-  return registry_replica_ ? registry_replica_->standing() : registry_replication::Standing{};
+registry_replication::MemberStatus Node::OwnStanding() const {
+  return registry_replica_ ? registry_replica_->status() : registry_replication::MemberStatus{};
 }
 
 // ---- Calls of hosts -----------------------------------------------------------------------------------
@@ -78,8 +78,8 @@
     const Replication& replication = replications_.at(number);
     if (replication.leave) {
       ++leaves_not_acknowledged_;
-      Say(Event::kLeaveNotAcknowledged,
-          replication.host + " held by " + replication.votes.Names() + " in epoch " + std::to_string(epoch_));
+      Say(Event::kLeaveNotAcknowledged, replication.host + " held by " + replication.votes.VoterNames() +
+                                            " in epoch " + std::to_string(epoch_));
     }
     control_.Reply(replication.call, 503);
     replications_.erase(number);
@@ -94,7 +94,7 @@
 void Node::SendAgain(std::uint64_t number, Replication& replication) {
   replication.again = Now() + kReplicateAgain;
   const bool own_vote_missing = replication.leave && core_member() &&
-                                !replication.votes.Voted(settings_.node_name, epoch_) &&
+                                !replication.votes.HasVoted(settings_.node_name, epoch_) &&
                                 owed_votes_.size() < kMostOwedVotes;
   if (own_vote_missing) owed_votes_.push_back({0, number});
   const auto streams = ToCore(ReplicateHosts{number, replication.batch});
@@ -113,11 +113,11 @@
   const auto it = replications_.find(number);
   if (it == replications_.end()) return;
   const Replication& replication = it->second;
-  if (replication.leave && !replication.votes.Chosen(RegistryRoster())) return;
+  if (replication.leave && !replication.votes.HasMajority(RegistryRoster())) return;
   if (replication.leave) {
     ++leaves_acknowledged_;
-    Say(Event::kLeaveAcknowledged,
-        replication.host + " held by " + replication.votes.Names() + " in epoch " + std::to_string(epoch_));
+    Say(Event::kLeaveAcknowledged, replication.host + " held by " + replication.votes.VoterNames() +
+                                       " in epoch " + std::to_string(epoch_));
   }
   const RequestId call = replication.call;
   replications_.erase(it);
@@ -160,7 +160,7 @@
 }
 
 void Node::AnswerVotes(const std::vector<OwedVote>& owed) {
-  const registry_replication::Standing own = OwnStanding();
+  const registry_replication::MemberStatus own = OwnStanding();
   for (const OwedVote& vote : owed) {
     if (vote.stream == 0) {
       const auto it = replications_.find(vote.number);
@@ -206,7 +206,7 @@
   if (!core_) return;
   if (told_hosts_ != directory_.version()) PublishHosts();
   if (message.epoch < epoch_) stream.Send(Encode(MembersNow()));
-  const registry_replication::Standing own = OwnStanding();
+  const registry_replication::MemberStatus own = OwnStanding();
   stream.Send(Encode(RegistryAnswer{message.asked_us, own.member.incarnation, own.epoch, own.complete_epoch,
                                     own.votes, own.watermark}));
 }
@@ -215,7 +215,7 @@
 
 void Node::Handle(Link::Stream& stream, RegistryAnswer& message) {
   RaiseWatermark(message.watermark);
-  const registry_replication::Standing standing = StandingOf(stream, message);
+  const registry_replication::MemberStatus standing = StandingOf(stream, message);
   const Steady asked{std::chrono::microseconds(message.asked_us)};
   registry_lease_.OnAnswer(Now(), asked, standing);
   if (registry_replica_) {
@@ -228,14 +228,14 @@
 void Node::TickLease() {
   const Steady now = Now();
   const bool due = registry_lease_.Tick(now);
-  const registry_replication::Standing own = OwnStanding();
+  const registry_replication::MemberStatus own = OwnStanding();
   TellCompleteMembers();
   if (own.votes) registry_lease_.OnAnswer(now, now, own);
   ConfirmHosts();
   if (registry_replica_ && watermark_.Tick(now, RegistryRoster(), own)) OnWatermark();
   if (due) {
     ToCore(RegistryQuery{Microseconds(now), epoch_, watermark_.value()});
-    registry_lease_.Asked(now);
+    registry_lease_.OnQuerySent(now);
   }
   OnProof();
 }
@@ -262,8 +262,8 @@
 
 void Node::OnProof() {
   front_.SendWaiting();
-  const bool proved = registry_lease_.Proved(Now());
-  if (proved == registry_proved_ || (!proved && !registry_lease_.GivenUp(Now()))) return;
+  const bool proved = registry_lease_.IsProved(Now());
+  if (proved == registry_proved_ || (!proved && !registry_lease_.IsProofUnavailable(Now()))) return;
   registry_proved_ = proved;
   Say(proved ? Event::kRegistryProved : Event::kRegistryUnproved, "epoch " + std::to_string(epoch_));
 }
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -381,7 +381,7 @@
   page.Counter("leaves_acknowledged_total", leaves_acknowledged_, "Leaves of hosts that a majority holds.");
   page.Counter("leaves_not_acknowledged_total", leaves_not_acknowledged_,
                "Leaves that no majority held in time; the hosts go on to another gateway.");
-  if (const auto list_age = registry_lease_.Age(Now()))
+  if (const auto list_age = registry_lease_.ProofAge(Now()))
     page.Gauge("registry_proof_age_seconds", WholeSeconds(*list_age),
                "Since the question by which a majority last proved the list of hosts.");
   page.Counter("accepted_total", door.accepted, "Connections taken from clients.");
