--- a/src/app/handing.cpp
+++ b/src/app/handing.cpp
@@ -78,7 +78,7 @@
   std::string error;
   auto snapshot = handover::Decode(bytes, error);
   if (!snapshot) return parts_.logger.Warning("upgrade: the snapshot {}; beginning as after a start", error);
-  parts_.by_hand.TakeOver(snapshot->out_by_hand);
+  parts_.by_hand.AddSuspended(snapshot->out_by_hand);
   MemberList list = list_told_ ? parts_.by_hand.list() : std::move(snapshot->members);
   parts_.inputs.Post(MembersTold{std::move(list), !list_told_});
   parts_.core.TakeOver(snapshot->memory);
@@ -133,7 +133,7 @@
   const TimePoint now = parts_.inputs.Now();
   // Of what is held, idle clients and kept connections go over at once; the rest ends with its requests.
   const std::size_t open_requests = 2 * parts_.listener.owed();
-  handover::Snapshot snapshot{parts_.core.HandOn(), parts_.by_hand.list(), parts_.by_hand.out(),
+  handover::Snapshot snapshot{parts_.core.HandOn(), parts_.by_hand.list(), parts_.by_hand.suspended(),
                               static_cast<std::uint32_t>(open_requests), parts_.listener.open_ids()};
   const std::size_t customers = snapshot.memory.customers.size(), open = snapshot.open_ids.size();
   Pass(Kind::kSnapshot, handover::Encode(std::move(snapshot), now), {});
--- a/src/app/handing.hpp
+++ b/src/app/handing.hpp
@@ -26,7 +26,7 @@
     net::Listener& listener;
     net::Upstream& upstream;
     Core& core;
-    host_overrides::ByHand& by_hand;
+    host_overrides::HostOverrides& by_hand;
     log::Logger& logger;
     std::function<void(handover::Kind kind, HostId host)> call_by_hand;  // made at the other process
     std::function<bool()> terminating;
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -89,7 +89,7 @@
 void Service::Post(Input input) {
   if (auto* told = std::get_if<MembersTold>(&input)) {
     if (!told->cached) handing_.NoteListTold();
-    told->members = by_hand_.Told(std::move(told->members));
+    told->members = by_hand_.ApplyOverrides(std::move(told->members));
   }
   Handle(std::move(input));
 }
@@ -160,8 +160,8 @@
   figures.forwards = upstream_.written();
   // Taken once its last byte has come, ended once the last of its answer has gone.
   figures.outstanding = reducer_->open_requests() - listener_.uploads() + listener_.deliveries();
-  figures.discovered = by_hand_.listed();
-  figures.ejected = by_hand_.listed_out() + reducer_->resting(clock_.Now());
+  figures.discovered = by_hand_.listed_count();
+  figures.ejected = by_hand_.listed_suspended_count() + reducer_->resting(clock_.Now());
   figures.sighup_applied = counts_.reloads;
   figures.sighup_rejected = counts_.bad_reloads;
   if (peers_) figures.more = peers_->Figures();
@@ -188,17 +188,18 @@
 std::string Service::Answer(const admin::Bad& call) { return admin::No(call.reason); }
 
 std::string Service::AnswerByHand(handover::Kind kind, const std::string& name, std::string_view what) {
-  const HostId host = host_overrides::HostOf(name);
+  const HostId host = host_overrides::HostIdFromUid(name);
   const auto answer = CallByHand(kind, host);
-  if (answer == host_overrides::ByHand::Answer::kUnknown) return admin::No("unknown host");
-  if (answer == host_overrides::ByHand::Answer::kTooMany) return admin::No("too many hosts are out by hand");
+  if (answer == host_overrides::HostOverrides::Result::kUnknownHost) return admin::No("unknown host");
+  if (answer == host_overrides::HostOverrides::Result::kLimitReached)
+    return admin::No("too many hosts are out by hand");
   logger_.Info("host {} {} by hand", name, what);
   handing_.Mirror(kind, host);
   return admin::Yes(what);
 }
 
 // The core is told before the answer is given: the yes binds from then on.
-host_overrides::ByHand::Answer Service::CallByHand(handover::Kind kind, HostId host) {
+host_overrides::HostOverrides::Result Service::CallByHand(handover::Kind kind, HostId host) {
   std::optional<MemberList> change;
   const auto answer =
       kind == handover::Kind::kSuspend ? by_hand_.Suspend(host, change) : by_hand_.Restore(host, change);
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -95,7 +95,7 @@
   std::string Answer(const admin::HandOver& call);
   std::string Answer(const admin::Bad& call);
   std::string AnswerByHand(handover::Kind kind, const std::string& name, std::string_view what);
-  host_overrides::ByHand::Answer CallByHand(handover::Kind kind, HostId host);
+  host_overrides::HostOverrides::Result CallByHand(handover::Kind kind, HostId host);
 
   // A new configuration: moves to its discovery and counter. A faulty one changes nothing.
   void OnHangUp();
@@ -118,7 +118,7 @@
   net::Counter counter_;
   net::Discovery discovery_;
   net::AdminDoor admin_;
-  host_overrides::ByHand by_hand_;
+  host_overrides::HostOverrides by_hand_;
   const std::unique_ptr<Peers> peers_;  // where the configuration has `fleet`
   Handing handing_;
   net::Shutdown shutdown_;
--- a/src/host_overrides/host_overrides.cpp
+++ b/src/host_overrides/host_overrides.cpp
@@ -7,78 +7,79 @@
 
 namespace curlewdoor::host_overrides {
 
-HostId HostOf(std::string_view uid) { return HostId{StableHash(uid)}; }
+HostId HostIdFromUid(std::string_view uid) { return HostId{StableHash(uid)}; }
 
-MemberList ByHand::Told(MemberList members) {
+MemberList HostOverrides::ApplyOverrides(MemberList members) {
   version_ = members.version;
   if (members.all) {
-    std::unordered_map<HostId, Member, IdHash> before;
-    before.swap(listed_);
-    for (const Member& member : members.members) before.erase(member.entry.host);
-    for (const auto& [host, member] : before) Left(host);
+    std::unordered_map<HostId, Member, IdHash> not_listed_now;
+    not_listed_now.swap(listed_);
+    for (const Member& member : members.members) not_listed_now.erase(member.entry.host);
+    for (const auto& [host, member] : not_listed_now) RememberDeparted(host);
   }
   for (Member& member : members.members) {
     const HostId host = member.entry.host;
     if (member.entry.state == HostState::kGone) {
-      if (listed_.erase(host) > 0) Left(host);
+      if (listed_.erase(host) > 0) RememberDeparted(host);
     } else {
-      std::erase(left_, host);
+      std::erase(departed_, host);
       listed_[host] = member;
-      if (IsOut(host)) member.entry.state = HostState::kDraining;
+      if (IsSuspended(host)) member.entry.state = HostState::kDraining;
     }
   }
   return members;
 }
 
-// Guards against a table of hosts that grows for ever: the list replaces them day by day.
-void ByHand::Left(HostId host) {
-  if (left_.size() >= kMostLeft) left_.erase(left_.begin());
-  left_.push_back(host);
+// The number of remembered hosts is bounded, since hosts are replaced by new ones continually.
+void HostOverrides::RememberDeparted(HostId host) {
+  if (departed_.size() >= kMaxDeparted) departed_.erase(departed_.begin());
+  departed_.push_back(host);
 }
 
-bool ByHand::Known(HostId host) const {
-  return listed_.contains(host) || IsOut(host) || std::find(left_.begin(), left_.end(), host) != left_.end();
+bool HostOverrides::IsKnown(HostId host) const {
+  return listed_.contains(host) || IsSuspended(host) ||
+         std::find(departed_.begin(), departed_.end(), host) != departed_.end();
 }
 
-std::optional<MemberList> ByHand::Change(HostId host) const {
+std::optional<MemberList> HostOverrides::ChangeFor(HostId host) const {
   const auto it = listed_.find(host);
   if (it == listed_.end()) return std::nullopt;
   MemberList change{version_, false, {it->second}};
-  if (IsOut(host)) change.members.front().entry.state = HostState::kDraining;
+  if (IsSuspended(host)) change.members.front().entry.state = HostState::kDraining;
   return change;
 }
 
-ByHand::Answer ByHand::Suspend(HostId host, std::optional<MemberList>& change) {
-  if (!Known(host)) return Answer::kUnknown;
-  if (IsOut(host)) return Answer::kYes;
-  if (out_.size() >= kMostOut) return Answer::kTooMany;
-  out_.insert(host);
-  change = Change(host);
-  return Answer::kYes;
+HostOverrides::Result HostOverrides::Suspend(HostId host, std::optional<MemberList>& change) {
+  if (!IsKnown(host)) return Result::kUnknownHost;
+  if (IsSuspended(host)) return Result::kOk;
+  if (suspended_.size() >= kMaxSuspended) return Result::kLimitReached;
+  suspended_.insert(host);
+  change = ChangeFor(host);
+  return Result::kOk;
 }
 
-ByHand::Answer ByHand::Restore(HostId host, std::optional<MemberList>& change) {
-  if (!Known(host)) return Answer::kUnknown;
-  if (out_.erase(host) > 0) change = Change(host);
-  return Answer::kYes;
+HostOverrides::Result HostOverrides::Restore(HostId host, std::optional<MemberList>& change) {
+  if (!IsKnown(host)) return Result::kUnknownHost;
+  if (suspended_.erase(host) > 0) change = ChangeFor(host);
+  return Result::kOk;
 }
 
-std::size_t ByHand::listed_out() const {
-  return static_cast<std::size_t>(
-      std::count_if(out_.begin(), out_.end(), [&](HostId host) { return listed_.contains(host); }));
+std::size_t HostOverrides::listed_suspended_count() const {
+  return static_cast<std::size_t>(std::count_if(suspended_.begin(), suspended_.end(),
+                                                [&](HostId host) { return listed_.contains(host); }));
 }
 
-std::vector<HostId> ByHand::out() const { return {out_.begin(), out_.end()}; }
+std::vector<HostId> HostOverrides::suspended() const { return {suspended_.begin(), suspended_.end()}; }
 
-MemberList ByHand::list() const {
+MemberList HostOverrides::list() const {
   MemberList list{version_, true, {}};
   for (const auto& [host, member] : listed_) list.members.push_back(member);
   return list;
 }
 
-void ByHand::TakeOver(const std::vector<HostId>& out) {
-  for (HostId host : out)
-    if (out_.size() < kMostOut) out_.insert(host);
+void HostOverrides::AddSuspended(const std::vector<HostId>& suspended) {
+  for (HostId host : suspended)
+    if (suspended_.size() < kMaxSuspended) suspended_.insert(host);
 }
 
 }  // namespace curlewdoor::host_overrides
--- a/src/host_overrides/host_overrides.hpp
+++ b/src/host_overrides/host_overrides.hpp
@@ -1,5 +1,5 @@
-// Hosts that operators have taken out: a layer between what discovery tells and the gateway's core. A host
-// out by hand is passed on as draining, whatever discovery says of it. Pure.
+// Hosts that operators have suspended. This layer is between discovery and the gateway's core: a suspended
+// host is passed on as draining, whatever state discovery reports for it. Pure.
 #pragma once
 
 #include <optional>
@@ -12,39 +12,43 @@
 
 namespace curlewdoor::host_overrides {
 
-HostId HostOf(std::string_view uid);  // as the list of hosts names it
+// The ID of the host with this uid in discovery's list.
+HostId HostIdFromUid(std::string_view uid);
 
-class ByHand {
+// The suspended hosts, and discovery's list to which they are applied.
+class HostOverrides {
  public:
-  static constexpr std::size_t kMostOut = 4096;
-  static constexpr std::size_t kMostLeft = 4096;  // hosts that have left the list and are still known by id
-
-  // What discovery has told becomes what the core is told.
-  MemberList Told(MemberList members);
-
-  enum class Answer { kYes, kUnknown, kTooMany };
-  // Takes a host out or puts it back; doing so twice is doing so once. `change` is what the core is to be
-  // told, if anything.
-  Answer Suspend(HostId host, std::optional<MemberList>& change);
-  Answer Restore(HostId host, std::optional<MemberList>& change);
-
-  std::size_t listed() const { return listed_.size(); }
-  bool IsOut(HostId host) const { return out_.contains(host); }
-  std::size_t listed_out() const;
-  // For an upgrade: the hosts out, and the list as it was told.
-  std::vector<HostId> out() const;
+  static constexpr std::size_t kMaxSuspended = 4096;
+  // Hosts that have left the list and are still known by ID.
+  static constexpr std::size_t kMaxDeparted = 4096;
+
+  // Records a list from discovery and returns it as the core must see it, with suspended hosts draining.
+  MemberList ApplyOverrides(MemberList members);
+
+  enum class Result { kOk, kUnknownHost, kLimitReached };
+  // Suspends a host or restores it; repeating a call has no further effect. `change` is set if the core must
+  // be updated.
+  Result Suspend(HostId host, std::optional<MemberList>& change);
+  Result Restore(HostId host, std::optional<MemberList>& change);
+
+  std::size_t listed_count() const { return listed_.size(); }
+  bool IsSuspended(HostId host) const { return suspended_.contains(host); }
+  std::size_t listed_suspended_count() const;
+  // For the handover to a new process at an upgrade: the suspended hosts, and the list as received from
+  // discovery.
+  std::vector<HostId> suspended() const;
   MemberList list() const;
-  void TakeOver(const std::vector<HostId>& out);
+  void AddSuspended(const std::vector<HostId>& suspended);
 
  private:
-  bool Known(HostId host) const;
-  std::optional<MemberList> Change(HostId host) const;
-  void Left(HostId host);
+  bool IsKnown(HostId host) const;
+  std::optional<MemberList> ChangeFor(HostId host) const;
+  void RememberDeparted(HostId host);
 
   std::uint64_t version_ = 0;
-  std::unordered_map<HostId, Member, IdHash> listed_;  // as told, without those that are gone
-  std::unordered_set<HostId, IdHash> out_;
-  std::vector<HostId> left_;  // the latest last
+  std::unordered_map<HostId, Member, IdHash> listed_;  // as received from discovery, without removed hosts
+  std::unordered_set<HostId, IdHash> suspended_;
+  std::vector<HostId> departed_;  // in the order of their departure
 };
 
 }  // namespace curlewdoor::host_overrides
--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-// Reads the keys of one object; remembers the first that is faulty.
-class Keys {
+// Reads the members of a JSON object. `error` is set to the first one that is missing or invalid.
+class ObjectReader {
  public:
-  Keys(const json& object, std::string path, std::string& error)
+  ObjectReader(const json& object, std::string path, std::string& error)
       : object_(object), path_(std::move(path)), error_(error) {
     if (!object.is_object()) Fail("", "is not an object");
   }
@@ -22,15 +22,15 @@
   std::string Text(const char* key, bool required) {
     const json* value = Find(key, required);
     if (value == nullptr) return "";
-    if (!value->is_string()) return Fail(key, "is not a text"), "";
+    if (!value->is_string()) return Fail(key, "is not a string"), "";
     return value->get<std::string>();
   }
-  template <typename Number>
-  Number Value(const char* key, Number absent) {
+  template <typename NumberType>
+  NumberType Number(const char* key, NumberType default_value) {
     const json* value = Find(key, false);
-    if (value == nullptr) return absent;
-    if (!value->is_number()) return Fail(key, "is not a number"), absent;
-    return value->get<Number>();
+    if (value == nullptr) return default_value;
+    if (!value->is_number()) return Fail(key, "is not a number"), default_value;
+    return value->get<NumberType>();
   }
   bool Bool(const char* key) {
     const json* value = Find(key, true);
@@ -61,26 +61,26 @@
     {{"active", HostState::kReady}, {"leaving", HostState::kDraining}, {"left", HostState::kGone}}};
 
 Member ReadMember(const json& object, const std::string& path, std::string& error) {
-  Keys keys(object, path, error);
+  ObjectReader reader(object, path, error);
   Member member;
   HostEntry& entry = member.entry;
-  entry.host = HostId{StableHash(keys.Text("uid", true))};
-  entry.zone = keys.Text("az", false);
-  entry.kind = keys.Text("model", false);
-  entry.cell = keys.Value<std::int64_t>("pod_group", 0);
-  entry.size_hint = keys.Value<double>("capacity_hint", 1);
-  constexpr std::int64_t kMostMs = std::int64_t{1} << 42;
-  const auto boot_ms = std::clamp<std::int64_t>(keys.Value<std::int64_t>("boot_ms", 0), 0, kMostMs);
+  entry.host = HostId{StableHash(reader.Text("uid", true))};
+  entry.zone = reader.Text("az", false);
+  entry.kind = reader.Text("model", false);
+  entry.cell = reader.Number<std::int64_t>("pod_group", 0);
+  entry.size_hint = reader.Number<double>("capacity_hint", 1);
+  constexpr std::int64_t kMaxBootMs = std::int64_t{1} << 42;
+  const auto boot_ms = std::clamp<std::int64_t>(reader.Number<std::int64_t>("boot_ms", 0), 0, kMaxBootMs);
   entry.started = TimePoint(std::chrono::milliseconds(boot_ms));
-  const std::string state = keys.Text("state", true);
-  const auto known = std::find_if(kStates.begin(), kStates.end(), [&](auto& s) { return s.first == state; });
-  if (known == kStates.end()) {
-    keys.Fail("state", "is not known");
+  const std::string state = reader.Text("state", true);
+  const auto found = std::find_if(kStates.begin(), kStates.end(), [&](auto& s) { return s.first == state; });
+  if (found == kStates.end()) {
+    reader.Fail("state", "is not known");
   } else {
-    entry.state = known->second;
+    entry.state = found->second;
   }
-  const auto address = ParseAddress(keys.Text("endpoint", entry.state != HostState::kGone));
-  if (!address && entry.state != HostState::kGone) keys.Fail("endpoint", "is not an address with a port");
+  const auto address = ParseAddress(reader.Text("endpoint", entry.state != HostState::kGone));
+  if (!address && entry.state != HostState::kGone) reader.Fail("endpoint", "is not an address with a port");
   member.address = address.value_or(Address{});
   return member;
 }
@@ -89,12 +89,12 @@
 
 std::optional<MemberList> ReadMembers(const json& object, std::string& error) {
   error.clear();
-  Keys keys(object, "", error);
+  ObjectReader reader(object, "", error);
   MemberList list;
-  list.version = keys.Value<std::uint64_t>("rev", 0);
-  list.all = keys.Bool("all");
-  const json* targets = keys.Find("targets", true);
-  if (targets != nullptr && !targets->is_array()) keys.Fail("targets", "is not a list");
+  list.version = reader.Number<std::uint64_t>("rev", 0);
+  list.all = reader.Bool("all");
+  const json* targets = reader.Find("targets", true);
+  if (targets != nullptr && !targets->is_array()) reader.Fail("targets", "is not a list");
   if (!error.empty()) return std::nullopt;
   for (const json& target : *targets)
     list.members.push_back(ReadMember(target, "targets[" + std::to_string(list.members.size()) + "]", error));
