--- a/src/host_overrides/host_overrides.hpp
+++ b/src/host_overrides/host_overrides.hpp
@@ -38,6 +38,7 @@
   // discovery.
   std::vector<HostId> suspended() const;
   MemberList list() const;
+  // Adds the hosts that the previous process handed over, up to kMaxSuspended.
   void AddSuspended(const std::vector<HostId>& suspended);
 
  private:
--- a/src/load_balancing/load_balancer.cpp
+++ b/src/load_balancing/load_balancer.cpp
@@ -18,10 +18,10 @@
 constexpr double kMaxSlowness = 6, kMinSlowness = 0.2;
 // Statistics of a host that receives no attempts decay by a factor of e in this many seconds.
 constexpr double kStatsDecaySeconds = 10;
-constexpr double kFailureSmoothing = 0.1;  // weight of one attempt in a host's failure rate
-constexpr double kFailureRateDelay = 4;    // delay added at a failure rate of 1
-constexpr double kSlowStartDelay = 1;      // delay added while a host is in slow start
-constexpr double kMaxCredit = 2;           // bound of the round-robin credit, positive and negative
+constexpr double kFailureSmoothing = 0.1;   // weight of one attempt in a host's failure rate
+constexpr double kFailureRateSlowness = 4;  // slowness added at a failure rate of 1
+constexpr double kSlowStartDelay = 1;       // delay added while a host is in slow start
+constexpr double kMaxCredit = 2;            // bound of the round-robin credit, positive and negative
 // A failing host is ejected for this long at first; the time doubles with each further failure.
 constexpr Duration kFirstEjection = milliseconds(250);
 constexpr Duration kMaxEjection = seconds(4);
@@ -72,7 +72,7 @@
 double LoadBalancer::Weight(TimePoint now, const TrackedHost& tracked) const {
   const double decay = std::exp(-Seconds(now - tracked.updated_at) / kStatsDecaySeconds);
   const double slowness = std::max(
-      kMinSlowness, 1 + (tracked.slowness - 1) * decay + kFailureRateDelay * tracked.failure_rate * decay);
+      kMinSlowness, 1 + (tracked.slowness - 1) * decay + kFailureRateSlowness * tracked.failure_rate * decay);
   const double slots = std::max(1, tracked.host.slots);
   // The attempts in flight from this gateway are an estimate of the host's total load. They count before the
   // slots are full, since other gateways use the same slots.
--- a/src/load_balancing/load_balancer.hpp
+++ b/src/load_balancing/load_balancer.hpp
@@ -49,8 +49,10 @@
 // The aperture of a gateway: the part of its zone's hosts that it prefers. Hosts and gateways are placed on
 // two rings of equal length. A gateway's aperture is the stretch of the host ring next to it, at least one
 // host long. The apertures of all gateways cover all hosts evenly. Most load on the hosts of an aperture
-// comes from its own gateway, which can therefore see when such a host is busy. Returns for each of `hosts`,
-// in their order, how much of it lies in the aperture of gateway `index` of `gateways`.
+// comes from its own gateway, which can therefore see when such a host is busy.
+//
+// Returns for each of `hosts`, in their order, how much of it lies in the aperture of gateway `index` of
+// `gateways`.
 std::vector<double> ApertureShares(std::size_t hosts, std::size_t index, std::size_t gateways);
 
 // Selects hosts of one service and tracks latency, failures and attempts in flight per host.
@@ -65,9 +67,10 @@
   // skipped while another host is left, unless more than half of all hosts are ejected or unresponsive.
   std::optional<HostId> Choose(TimePoint now, std::span<const HostId> tried);
 
+  // An attempt was sent to this host.
   void OnAttemptStart(HostId host);
-  // `relative_latency`: the latency divided by the average latency of such requests; 0 if the host did not
-  // answer.
+  // An attempt has ended. `relative_latency`: the latency divided by the average latency of such requests; 0
+  // if the host did not answer.
   void OnAttemptEnd(TimePoint now, HostId host, AttemptFeedback feedback, double relative_latency);
 
   std::size_t size() const { return hosts_.size(); }
--- a/src/policy/json_validator.hpp
+++ b/src/policy/json_validator.hpp
@@ -7,6 +7,7 @@
 
 namespace curlewdoor::policy {
 
+// The first error in a JSON text.
 struct JsonError {
   const char* message = nullptr;  // nullptr if the text is one complete JSON value within the limits
   std::size_t offset = 0;         // byte offset of the error
--- a/src/retry/attempt.hpp
+++ b/src/retry/attempt.hpp
@@ -27,6 +27,7 @@
   bool complete = false;  // the body has arrived, or arrives in chunks of known length
 };
 
+// An event on the connection of an attempt.
 struct AttemptEvent {
   enum class Kind : std::uint8_t {
     kBytesSent,  // the first bytes were written to the socket
@@ -40,6 +41,7 @@
   HostAnswer answer{};  // kAnswered
 };
 
+// The result of applying an event to the state of an attempt.
 struct Transition {
   AttemptState state = AttemptState::kNone;
   std::optional<AttemptOutcome> outcome;  // set when the attempt has ended; `state` is then kNone
--- a/src/retry/retry.hpp
+++ b/src/retry/retry.hpp
@@ -38,6 +38,7 @@
   bool complete = true;       // kAnswered: the body has arrived, or arrives in chunks of known length
 };
 
+// What the outcome proves about the execution of the request.
 Execution ClassifyExecution(const AttemptOutcome& outcome);
 // Whether the request may have reached the host. A retry after such an attempt is charged to the retry
 // budget.
@@ -85,10 +86,12 @@
   // `start_full`: this gateway has made no retries recently. Otherwise the bucket starts empty, since an
   // earlier process may just have spent all of the slack.
   RetryBudget(Options options, bool start_full, TimePoint now);
+  // The number of gateways that share the slack.
   void SetGateways(int gateways);
+  // A request arrived; it earns a share of a token.
   void OnRequest(TimePoint now);
   bool Allows(TimePoint now);  // whether one more retry is covered
-  void Spend(TimePoint now);
+  void Spend(TimePoint now);   // takes the token of one retry
 
  private:
   double IdleCapacity() const;  // tokens that accumulate by time alone, at most
--- a/tests/load_balancing/load_balancer_test.cpp
+++ b/tests/load_balancing/load_balancer_test.cpp
@@ -87,28 +87,28 @@
     balancer.SetHosts(kStart, Hosts(5));
     const HostId bad{2};
     const auto fail = [&](TimePoint now) {
-      int met = 0;
+      int attempts = 0;
       for (int i = 0; i < 200; ++i) {
         const auto host = balancer.Choose(now, {});
-        met += *host == bad;
+        attempts += *host == bad;
         balancer.OnAttemptStart(*host);
         balancer.OnAttemptEnd(now, *host, *host == bad ? feedback : AttemptFeedback::kAnswered, 1);
       }
-      return met;
+      return attempts;
     };
-    const int met = fail(kStart);
-    BOOST_TEST(met <= 3);  // of 200; its proportional share would be 40
-    BOOST_TEST(met >= 1);
+    const int attempts = fail(kStart);
+    BOOST_TEST(attempts <= 3);  // of 200; its proportional share would be 40
+    BOOST_TEST(attempts >= 1);
     BOOST_TEST(CountOf(balancer, kStart + milliseconds(100), bad, 100) == 0);
     int tried = 0;  // probes while it keeps failing, at growing intervals
     for (int i = 1; i <= 60; ++i) tried += fail(kStart + i * seconds(1));
     BOOST_TEST(tried >= 5);
     BOOST_TEST(tried <= 40);
-    const TimePoint well = kStart + seconds(70);
-    BOOST_TEST(CountOf(balancer, well, bad, 100) >= 1);
-    int back = 0;
-    for (int i = 0; i < 30; ++i) back = CountOf(balancer, well + i * seconds(1), bad, 100);
-    BOOST_TEST(back >= 15);
+    const TimePoint recovered = kStart + seconds(70);
+    BOOST_TEST(CountOf(balancer, recovered, bad, 100) >= 1);
+    int visits_after = 0;
+    for (int i = 0; i < 30; ++i) visits_after = CountOf(balancer, recovered + i * seconds(1), bad, 100);
+    BOOST_TEST(visits_after >= 15);
   }
 }
 
@@ -124,11 +124,11 @@
 BOOST_AUTO_TEST_CASE(AHostIsChosenWhenAllFail) {
   LoadBalancer balancer({}, 9);
   balancer.SetHosts(kStart, Hosts(4));
-  std::map<HostId, int> met;
+  std::map<HostId, int> attempts;
   for (int i = 0; i < 400; ++i)
-    ++met[Visit(balancer, kStart + i * milliseconds(1), AttemptFeedback::kConnectFailed)];
-  BOOST_TEST(met.size() == 4u);  // the attempts are spread over all hosts
-  for (const auto& [id, count] : met) BOOST_TEST(count >= 20);
+    ++attempts[Visit(balancer, kStart + i * milliseconds(1), AttemptFeedback::kConnectFailed)];
+  BOOST_TEST(attempts.size() == 4u);  // the attempts are spread over all hosts
+  for (const auto& [id, count] : attempts) BOOST_TEST(count >= 20);
   auto hosts = Hosts(4);
   for (BackendHost& host : hosts) host.unresponsive = true;
   balancer.SetHosts(kStart, hosts);
--- a/tests/registry_replication/return_search_test.cpp
+++ b/tests/registry_replication/return_search_test.cpp
@@ -54,7 +54,7 @@
 // A host's heartbeat call, in the socket of the process that it was sent to.
 struct HeartbeatCall {
   Time arrives_at{};
-  directory::Beat beat{};
+  directory::Beat heartbeat{};
 };
 
 struct SimulatedHost {
@@ -181,9 +181,9 @@
     process.sealed = false;
     Restart(m);
   }
-  void RaiseWatermark(int p, std::uint64_t heard) {
+  void RaiseWatermark(int p, std::uint64_t received) {
     Process& process = processes_[p];
-    if (process.watermark->Adopt(Local(p), heard)) OnWatermark(process);
+    if (process.watermark->Adopt(Local(p), received)) OnWatermark(process);
   }
   static void OnWatermark(Process& process) {
     if (process.replica) process.replica->SetWatermark(process.watermark->value());
@@ -406,10 +406,10 @@
     host.next_heartbeat = now_ + 1500ms;
     HeartbeatCall call;
     call.arrives_at = now_ + (Chance(0.05) ? 100ms * Pick(100) : 0ms);
-    call.beat.id = host.id;
-    call.beat.service = "s";
-    call.beat.address = host.address;
-    call.beat.sequence = ++host.sequence;
+    call.heartbeat.id = host.id;
+    call.heartbeat.service = "s";
+    call.heartbeat.address = host.address;
+    call.heartbeat.sequence = ++host.sequence;
     // A host sends to a process that answers, but some heartbeats wait in the socket of a paused process.
     int to = Pick(kProcesses);
     for (int i = 0; i < 5 && !Runs(to) && Chance(0.7); ++i) to = Pick(kProcesses);
@@ -426,16 +426,16 @@
       }
       const bool reads_old = mutant_ == Mutant::kReadsOldHeartbeats;
       if (!reads_old && process.pause_watch->InputMayBeOld(Local(p))) continue;
-      const bool was_listed = process.hosts->Find(call.beat.id) != nullptr;
-      const bool changed = process.hosts->Apply(Local(p), call.beat) || !was_listed;
-      const auto* entry = process.hosts->Find(call.beat.id);
+      const bool was_listed = process.hosts->Find(call.heartbeat.id) != nullptr;
+      const bool changed = process.hosts->Apply(Local(p), call.heartbeat) || !was_listed;
+      const auto* entry = process.hosts->Find(call.heartbeat.id);
       if (entry == nullptr) continue;
       if (changed && !IsMember(p)) {
         for (int m = 0; m < kMembers; ++m) Send(p, m, HostsMessage(p, {*entry}));
       } else if (!changed) {
         Message refreshed{Message::Kind::kRefreshed};
-        refreshed.id = call.beat.id;
-        refreshed.sequence = call.beat.sequence;
+        refreshed.id = call.heartbeat.id;
+        refreshed.sequence = call.heartbeat.sequence;
         SendToMembers(p, refreshed);
       }
     }
