--- a/src/budget/parts.cpp
+++ b/src/budget/allocation.cpp
@@ -1,4 +1,4 @@
-#include "budget/parts.hpp"
+#include "budget/allocation.hpp"
 
 #include <numeric>
 
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "core/timers.hpp"
-#include "counting/presence.hpp"
 #include "logic.hpp"
 #include "members/members.hpp"
+#include "quota/presence.hpp"
 
 namespace curlewdoor {
 
--- a/src/counting/presence.cpp
+++ b/src/quota/presence.cpp
@@ -1,4 +1,4 @@
-#include "counting/presence.hpp"
+#include "quota/presence.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/counting/pressure.cpp
+++ b/src/quota/priority_throttle.cpp
@@ -1,4 +1,4 @@
-#include "counting/pressure.hpp"
+#include "quota/priority_throttle.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/counting/held_counts.cpp
+++ b/src/quota/quota_counters.cpp
@@ -1,8 +1,8 @@
-#include "counting/held_counts.hpp"
+#include "quota/quota_counters.hpp"
 
 #include <algorithm>
 
-#include "counting/quota_plan.hpp"
+#include "quota/quota_plan.hpp"
 
 namespace curlewdoor::counting {
 namespace {
--- a/src/counting/quota_plan.cpp
+++ b/src/quota/quota_plan.cpp
@@ -1,4 +1,4 @@
-#include "counting/quota_plan.hpp"
+#include "quota/quota_plan.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "counting/quota_plan.hpp"
 #include "events/events.hpp"
 #include "net/request.hpp"
 #include "net/socket_io.hpp"
+#include "quota/quota_plan.hpp"
 #include "system/headers.hpp"
 #include "util/hash.hpp"
 #include "util/number.hpp"
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -15,7 +15,6 @@
 #include <vector>
 
 #include "choosing/choosing.hpp"
-#include "counting/pressure.hpp"
 #include "directory/by_service.hpp"
 #include "logic/leases.hpp"
 #include "net/door.hpp"
@@ -23,6 +22,7 @@
 #include "net/upstream.hpp"
 #include "policy/policy.hpp"
 #include "policy/split_sequence.hpp"
+#include "quota/priority_throttle.hpp"
 #include "registry/lease.hpp"
 #include "settings/settings.hpp"
 #include "trying/attempt.hpp"
--- a/src/system/front_in_force.cpp
+++ b/src/system/front_in_force.cpp
@@ -1,7 +1,7 @@
 // Front: the configuration in force and the hosts of its services.
 #include <algorithm>
 
-#include "counting/quota_plan.hpp"
+#include "quota/quota_plan.hpp"
 #include "system/front.hpp"
 
 namespace curlewdoor::system {
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -14,13 +14,13 @@
 #include <vector>
 
 #include "agreement/core.hpp"
-#include "counting/held_counts.hpp"
 #include "directory/by_service.hpp"
 #include "directory/command.hpp"
 #include "directory/directory.hpp"
 #include "directory/heartbeat_targets.hpp"
 #include "fleet/machine.hpp"
 #include "net/fleet_link.hpp"
+#include "quota/quota_counters.hpp"
 #include "registry/lease.hpp"
 #include "registry/replica.hpp"
 #include "registry/watermark.hpp"
--- a/src/system/package.cmake
+++ b/src/system/package.cmake
@@ -1,5 +1,5 @@
 # The whole gateway: one node, and its program.
-add_library(curlewdoor_node STATIC src/counting/held_counts.cpp src/counting/pressure.cpp src/counting/quota_plan.cpp
+add_library(curlewdoor_node STATIC src/quota/quota_counters.cpp src/quota/priority_throttle.cpp src/quota/quota_plan.cpp
                                    src/system/call_door.cpp src/system/command.cpp src/system/config_feed.cpp
                                    src/system/config_source.cpp src/system/coordination_calls.cpp
                                    src/system/coordination_host.cpp src/system/coordination_http.cpp src/system/core_calls.cpp src/system/founding_host.cpp
@@ -24,11 +24,11 @@
 target_link_libraries(curlewdoor-system PRIVATE curlewdoor_console curlewdoor_node)
 target_include_directories(curlewdoor-system SYSTEM PRIVATE ${TCLAP})
 target_compile_definitions(curlewdoor-system PRIVATE CURLEWDOOR_VERSION="${PROJECT_VERSION}")
-system_test(pressure_test tests/counting/pressure_test.cpp curlewdoor_node)
-system_test(held_counts_test tests/counting/held_counts_test.cpp curlewdoor_node)
+system_test(pressure_test tests/quota/pressure_test.cpp curlewdoor_node)
+system_test(held_counts_test tests/quota/held_counts_test.cpp curlewdoor_node)
 if(NOT CURLEWDOOR_SANITIZE)  # searches of many seeds and states: too many for a sanitized build
-  system_test(quota_test tests/counting/quota_test.cpp curlewdoor_node)
-  system_test(count_model_check_test tests/counting/model_check_test.cpp curlewdoor_node)
+  system_test(quota_test tests/quota/quota_test.cpp curlewdoor_node)
+  system_test(count_model_check_test tests/quota/model_check_test.cpp curlewdoor_node)
 endif()
 system_test(message_test tests/system/message_test.cpp curlewdoor_node)
 system_test(golden_test tests/system/golden_test.cpp curlewdoor_node)
--- a/tests/budget/model_check_test.cpp
+++ b/tests/budget/model_check_test.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "budget/parts.hpp"
+#include "budget/allocation.hpp"
 
 namespace curlewdoor::budget {
 namespace {
--- a/tests/presence_test.cpp
+++ b/tests/presence_test.cpp
@@ -1,6 +1,6 @@
 // Gateways that count one another: a split is noticed and told from deaths, and what is no split changes
 // nothing.
-#include "counting/presence.hpp"
+#include "quota/presence.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/counting/held_counts_test.cpp
+++ b/tests/quota/held_counts_test.cpp
@@ -1,10 +1,10 @@
 // The count that a member of the core holds, alone. With the gateways that draw on it: quota_test.cpp.
-#include "counting/held_counts.hpp"
-
 #include <boost/test/unit_test.hpp>
 #include <set>
 #include <string>
 
+#include "quota/quota_counters.hpp"
+
 namespace curlewdoor::counting {
 namespace {
 
--- a/tests/counting/model_check_test.cpp
+++ b/tests/quota/model_check_test.cpp
@@ -19,9 +19,9 @@
 #include <vector>
 
 #include "../seen_states.hpp"
-#include "counting/held_counts.hpp"
-#include "counting/quota_plan.hpp"
 #include "logic/leases.hpp"
+#include "quota/quota_counters.hpp"
+#include "quota/quota_plan.hpp"
 #include "util/hash.hpp"
 
 namespace curlewdoor::counting {
--- a/tests/counting/pressure_test.cpp
+++ b/tests/quota/pressure_test.cpp
@@ -1,11 +1,11 @@
 // Who goes first beyond a quota. One window's units go to who asks first; what is played is a tenant whose
 // requests of three ranks come evenly mixed.
-#include "counting/pressure.hpp"
-
 #include <array>
 #include <boost/test/unit_test.hpp>
 #include <random>
 
+#include "quota/priority_throttle.hpp"
+
 namespace curlewdoor::counting {
 namespace {
 
--- a/tests/counting/quota_world.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "counting/held_counts.hpp"
-#include "counting/quota_plan.hpp"
 #include "logic/leases.hpp"
+#include "quota/quota_counters.hpp"
+#include "quota/quota_plan.hpp"
 #include "util/seconds.hpp"
 
 namespace curlewdoor::counting {
--- a/tests/counting/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "quota_world.hpp"
+#include "quota_simulation.hpp"
 
 namespace curlewdoor::counting {
 namespace {
