--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -36,7 +36,7 @@
       upstream_(loop, config_.settings, descriptors_, *this, dialect_),
       counter_(loop, config_.settings, config_.counter, descriptors_, *this),
       discovery_(loop, config_.settings, config_.discovery,
-                 config_.settings.discovery == curlewdoor::Discovery::kPush,
+                 config_.settings.discovery == curlewdoor::DiscoveryMode::kPush,
                  config_.known ? std::optional(config_.known->version) : std::nullopt, descriptors_, *this,
                  logger_),
       admin_(loop, descriptors_, *this, [this](std::string_view line) { return AnswerCall(line); }),
@@ -73,7 +73,7 @@
   figures_timer_.StartIn(kFiguresEvery, kFiguresEvery);
   MembersTold known{config_.known.value_or(MemberList{}), true};
   Post(std::move(known));
-  if (config_.settings.discovery == curlewdoor::Discovery::kPush) discovery_.Watch(true);
+  if (config_.settings.discovery == curlewdoor::DiscoveryMode::kPush) discovery_.Watch(true);
   listener_.NameClasses();
   if (config_.admin && !admin_.Listen(*config_.admin, error)) return false;
   if (config_.listen_fd) {
--- a/src/budget/allocation.hpp
+++ b/src/budget/allocation.hpp
@@ -1,9 +1,9 @@
-// A fleet-wide budget divided among gateways: the part of one gateway, and the divider that grants parts by
-// wants. Parts are leases: what a divider has granted counts against the whole until the gateway has said
-// that it goes by less, or until the lease is over by the divider's own, longer count. Pure; each side tells
-// its own monotonic time. The argument why parts in force never sum to more than the whole, and what it
-// assumes: docs/budgets.md. Not wired into the daemon yet. After Google's Doorman (capacity leases, a wait of
-// one lease for a new master, safe capacity).
+// A fleet-wide budget divided among gateways: the allocation of one gateway, and the divider that grants
+// allocations on request. Allocations are leases: a grant counts against the whole until the gateway reports
+// a smaller one in force, or until the lease ends by the divider's own, longer timer. Pure; each side passes
+// its own monotonic time. docs/budgets.md has the proof that allocations in force never sum to more than the
+// whole, and its assumptions. Not used by the daemon yet. Based on Google's Doorman (capacity leases, a wait
+// of one lease for a new master, safe capacity).
 #pragma once
 
 #include <algorithm>
@@ -19,121 +19,119 @@
 using duty::Life;
 using duty::Time;
 
-// Of whatever is divided: requests at once, or thousandths of a rate. Whole numbers, so that sums are exact.
+// Units of the budget: concurrent requests, or thousandths of a rate. Integers, so that sums are exact.
 using Units = std::int64_t;
 
-struct Terms {
+struct BudgetTerms {
   Units whole = 0;           // above 0
-  Units reserve = 0;         // of it, set aside for gateways that are cut off; 0 to whole
-  std::size_t gateways = 1;  // of the whole fleet, as configured: never those that somebody sees
-  duty::Terms lease{};       // how long a part lasts, and how far clocks may differ
+  Units reserve = 0;         // part of it, reserved for unreachable gateways; 0 to whole
+  std::size_t gateways = 1;  // configured fleet size, never the number that is reachable
+  duty::Terms lease{};       // duration of an allocation, and the bound on clock differences
 
   Units divided() const { return whole - reserve; }
-  // Each gateway's without asking anybody.
+  // Units that each gateway may use without a grant.
   Units safe() const { return reserve / static_cast<Units>(std::max<std::size_t>(1, gateways)); }
 };
 
-struct Want {
-  std::uint64_t question = 0;  // of this life; rises
-  Life who = 0;
-  std::uint64_t token = 0;  // of the holding that it asks, as far as it knows
-  Units part = 0;           // in force as it asks, granted by whomever
+struct AllocationRequest {
+  std::uint64_t sequence = 0;  // of this incarnation; increases
+  Life requester = 0;
+  std::uint64_t token = 0;  // the divider's token, as far as the gateway knows
+  Units part = 0;           // in force at the time of the request, from any divider
   Units want = 0;
 };
 
-struct Grant {
-  std::uint64_t question = 0;
-  Life who = 0;             // whose question it was: another life numbers its own anew
-  std::uint64_t token = 0;  // of the divider's holding of its duty
-  bool taken = true;        // false: the question was for another holding; ask again, this one
+struct AllocationGrant {
+  std::uint64_t sequence = 0;
+  Life requester = 0;       // the requester: another incarnation restarts its sequence
+  std::uint64_t token = 0;  // fencing token of the divider
+  bool accepted = true;     // false: the request had another token; request again with this one
   Units part = 0;
 };
 
-// A gateway's side of one budget.
-class Part {
+// The gateway side of one budget.
+class Allocation {
  public:
-  Part(const Terms& terms, Life life) : terms_(terms), life_(life) {}
+  Allocation(const BudgetTerms& terms, Life incarnation) : terms_(terms), incarnation_(incarnation) {}
 
-  // Answers to earlier questions are for nothing from now on.
-  Want Ask(Time now, Units want) {
+  // Creates a request; responses to earlier requests are ignored from now on.
+  AllocationRequest Ask(Time now, Units want) {
     asked_at_ = now;
-    return {++question_, life_, divider_, Granted(now), std::max<Units>(0, want)};
+    return {++sequence_, incarnation_, divider_, Granted(now), std::max<Units>(0, want)};
   }
-  // Who divides now, as the duty tells; a question that names a holding was asked after that began.
-  void Divides(std::uint64_t token) { divider_ = std::max(divider_, token); }
-  // False: late, repeated, or of a divider that another has followed.
-  bool OnGrant(Time now, const Grant& grant) {
-    Divides(grant.token);
-    if (!grant.taken || grant.who != life_ || grant.question != question_ || grant.token < token_ ||
-        answered_ == std::pair(question_, grant.token))
+  // Records the current divider's token; a request with a token was made after that divider started.
+  void ObserveDivider(std::uint64_t token) { divider_ = std::max(divider_, token); }
+  // False: the grant is late, repeated, or from a superseded divider.
+  bool OnGrant(Time now, const AllocationGrant& grant) {
+    ObserveDivider(grant.token);
+    if (!grant.accepted || grant.requester != incarnation_ || grant.sequence != sequence_ ||
+        grant.token < token_ || answered_ == std::pair(sequence_, grant.token))
       return false;
     const Time until = asked_at_ + terms_.lease.held();
     if (now >= until) return false;
     token_ = grant.token;
-    answered_ = {question_, grant.token};
+    answered_ = {sequence_, grant.token};
     part_ = std::max<Units>(0, grant.part);
     until_ = until;
     return true;
   }
 
   Units Granted(Time now) const { return now < until_ ? part_ : 0; }
-  // To be asked at each use.
-  Units May(Time now) const { return terms_.safe() + Granted(now); }
+  // Units that may be used now; check at each use.
+  Units Allowed(Time now) const { return terms_.safe() + Granted(now); }
   Time until() const { return until_; }
   Time asked_at() const { return asked_at_; }
-  std::uint64_t question() const { return question_; }
+  std::uint64_t sequence() const { return sequence_; }
   std::uint64_t token() const { return token_; }
   std::uint64_t divider() const { return divider_; }
 
  private:
-  Terms terms_;
-  Life life_;
-  std::uint64_t question_ = 0, token_ = 0, divider_ = 0;
-  std::pair<std::uint64_t, std::uint64_t> answered_{};  // question and token of the last grant taken
+  BudgetTerms terms_;
+  Life incarnation_;
+  std::uint64_t sequence_ = 0, token_ = 0, divider_ = 0;
+  std::pair<std::uint64_t, std::uint64_t> answered_{};  // sequence and token of the last accepted grant
   Units part_ = 0;
   Time asked_at_{}, until_{};
 };
 
-// Max-min fair: who wants less than an even share gets it, and what is left is shared by the others alike.
-// Whole units; what does not divide goes to the first in the order of `wants`. The sum is never above
-// `whole`.
-std::vector<Units> Divide(Units whole, const std::vector<Units>& wants);
+// Max-min fair division: wants below the even share are met, and the others share the rest evenly. Remainders
+// go to the first in the order of `wants`. The sum never exceeds `whole`.
+std::vector<Units> DivideFairly(Units whole, const std::vector<Units>& wants);
 
-// A divider's side of one budget, for one holding of its duty.
+// The divider side of one budget, for one term of holding the duty.
 class Divider {
  public:
-  static constexpr std::size_t kMostLives = 2048;  // twice the members of a view
+  static constexpr std::size_t kMaxAccounts = 2048;  // twice the members of a fleet view
 
-  // `gained`: when it came to hold the duty; `token`: of that holding.
-  Divider(const Terms& terms, std::uint64_t token, Time gained)
+  // `gained`: when it acquired the duty; `token`: the fencing token of that term.
+  Divider(const BudgetTerms& terms, std::uint64_t token, Time gained)
       : terms_(terms), token_(token), grants_from_(gained + terms.lease.silence()) {}
 
-  // Until what dividers before it have granted is over it grants nobody more than what that one says it
-  // holds, and only to questions asked of this holding: what was in force before it began may have gone to
-  // another since (found by the model check: a late question, renewed, beside what the divider before had
-  // granted anew).
-  Grant OnWant(Time now, const Want& want);
+  // Until grants of earlier dividers have expired, a gateway gets at most what it reports as in force, and
+  // only for requests with this term's token: units in force before may have been granted to another gateway
+  // since (the model check found a late request that was renewed beside the earlier divider's new grant).
+  AllocationGrant OnRequest(Time now, const AllocationRequest& want);
 
-  // What may be in force somewhere, as far as this divider knows.
+  // Units that may be in force anywhere, as far as this divider knows.
   Units Committed(Time now) const;
-  std::size_t lives() const { return lives_.size(); }
+  std::size_t lives() const { return accounts_.size(); }
   Time grants_from() const { return grants_from_; }
   struct Account {
-    std::uint64_t question = 0;
-    Units told = 0;     // in force as it asked last
-    Units granted = 0;  // in answer to that
+    std::uint64_t sequence = 0;
+    Units reported = 0;  // reported as in force by the last request
+    Units granted = 0;   // in response to it
     Units want = 0;
-    Time ends{};  // of both
+    Time ends{};  // expiry of both
   };
-  const std::map<Life, Account>& accounts() const { return lives_; }
+  const std::map<Life, Account>& accounts() const { return accounts_; }
 
  private:
-  Units Target(Time now, Life who) const;
+  Units Target(Time now, Life requester) const;
 
-  Terms terms_;
+  BudgetTerms terms_;
   std::uint64_t token_;
   Time grants_from_;
-  std::map<Life, Account> lives_;
+  std::map<Life, Account> accounts_;
 };
 
 }  // namespace curlewdoor::budget
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -186,7 +186,7 @@
   if (settings.classes.empty()) reader.Fail("settings.request_classes", "names no class");
   if (settings.plans.empty()) reader.Fail("settings.tariffs", "names no plan");
   if (settings.gateways < 1) reader.Fail("settings.siblings", "is below 1");
-  if (settings.me < 0 || settings.me >= settings.gateways)
+  if (settings.own_index < 0 || settings.own_index >= settings.gateways)
     reader.Fail("settings.me", "is not below siblings");
   if (settings.limits.connect_timeout <= Duration::zero())
     reader.Fail("settings.limits.dial_timeout_ns", "is not above 0");
@@ -439,7 +439,7 @@
 
 Settings Retuned(const Config& running, const Config& next) {
   Settings settings = next.settings;
-  settings.me = running.settings.me;
+  settings.own_index = running.settings.own_index;
   settings.gateways = running.settings.gateways;
   settings.discovery = running.settings.discovery;
   settings.counting = running.settings.counting;
@@ -459,7 +459,7 @@
       (next.duty &&
        (next.duty->ledger != running.duty->ledger || next.duty->record_every != running.duty->record_every)))
     keys.emplace_back("duty");
-  if (next.settings.me != running.settings.me) keys.emplace_back("settings.me");
+  if (next.settings.own_index != running.settings.own_index) keys.emplace_back("settings.me");
   if (next.settings.gateways != running.settings.gateways) keys.emplace_back("settings.siblings");
   if (next.settings.discovery != running.settings.discovery) keys.emplace_back("settings.discovery");
   if (next.settings.counter.available != running.settings.counter.available)
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -9,7 +9,7 @@
 Outcome OutcomeOf(const AttemptAnswered& answer) {
   if (answer.status == 200) return Outcome::kOk;
   const bool turned_away = answer.not_processed && (answer.status == 503 || answer.status == 504);
-  return turned_away ? Outcome::kFull : Outcome::kError;
+  return turned_away ? Outcome::kQueueFull : Outcome::kError;
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
 // ---- Requests -----------------------------------------------------------------------------------------
 
 void Reducer::Take(RequestRead& input) {
-  if (presence_) presence_->NoteArrival(now_);
+  if (presence_) presence_->RecordArrival(now_);
   Request& request = requests_[input.request.id];
   request.deadline = now_ + input.request.time_left;
   request.time_left = input.request.time_left;
@@ -100,7 +100,7 @@
   Request* request = FindOpen(input.request);
   if (request == nullptr) return;
   CloseRequest(input.request, *request);
-  Tell(RequestGone{input.request});
+  Tell(RequestAbandoned{input.request});
   if (!request->bound) return;
   for (std::size_t i = 0; i < request->attempts.size(); ++i) {  // the module calls no stream off
     const AttemptId id{input.request, static_cast<int>(i)};
@@ -136,14 +136,14 @@
   requests_.erase(it);
 }
 
-void Reducer::Do(const Refuse& action) {
+void Reducer::Do(const RefuseRequest& action) {
   Request* request = FindOpen(action.id);
   if (request == nullptr) return;
   CloseRequest(action.id, *request);
   effects_->push_back(AnswerRefused{action.id, action.retry_after});
 }
 
-void Reducer::Do(const Fail& action) {
+void Reducer::Do(const FailRequest& action) {
   Request* request = FindOpen(action.id);
   if (request == nullptr) return;
   CloseRequest(action.id, *request);
@@ -160,7 +160,7 @@
   request.attempts.push_back({action.host, now_});
   ++attempts_out_;
   const auto host = hosts_.find(action.host);
-  if (!request.open) return EndAttempt(id, Outcome::kMoot);
+  if (!request.open) return EndAttempt(id, Outcome::kDiscarded);
   if (host == hosts_.end()) return EndAttempt(id, Outcome::kConnectFailed);
   const TimePoint expires =
       action.expires == TimePoint{} ? request.deadline : std::min(action.expires, request.deadline);
@@ -234,11 +234,11 @@
 
 // ---- The counter --------------------------------------------------------------------------------------
 
-void Reducer::Do(const AddCount& action) {
+void Reducer::Do(const AddToCounter& action) {
   StartCountCall(action.name, action.lifetime, action.amount, false);
 }
 
-void Reducer::StartCountCall(CountName name, Duration lifetime, double amount, bool of_presence) {
+void Reducer::StartCountCall(CounterName name, Duration lifetime, double amount, bool of_presence) {
   const CallId id{next_call_++};
   calls_[id] = Call{name, now_, false, of_presence};
   timers_.Add(now_ + settings_->counter.timeout, id);
@@ -251,10 +251,11 @@
 }
 
 // The module is told of the part only when it has changed.
-void Reducer::EndPresenceCall(CountName name, std::optional<double> total) {
-  const double before = presence_->part();
-  presence_->Answered(now_, name, total);
-  if (presence_->part() != before) Tell(CounterShared{presence_->part(), presence_->unseen_for()});
+void Reducer::EndPresenceCall(CounterName name, std::optional<double> total) {
+  const double before = presence_->visible_fraction();
+  presence_->OnReply(now_, name, total);
+  if (presence_->visible_fraction() != before)
+    Tell(CounterPartition{presence_->visible_fraction(), presence_->undetected_for()});
 }
 
 void Reducer::Take(CallWritten& input) {
@@ -266,7 +267,7 @@
   if (input.status == 200 && input.total) return EndCall(input.call, Outcome::kOk, *input.total);
   if (input.status == 200) return EndCall(input.call, Outcome::kError);  // added, to what is not known
   const bool nothing_added = input.status == 503 || input.status == 400 || input.status == 404;
-  EndCall(input.call, nothing_added ? Outcome::kFull : Outcome::kTimeout);
+  EndCall(input.call, nothing_added ? Outcome::kQueueFull : Outcome::kTimeout);
 }
 
 void Reducer::Take(CallBroken& input) {
@@ -292,7 +293,7 @@
 void Reducer::EndCall(CallId id, Outcome outcome, double total) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  const CountAnswered answered{it->second.name, outcome, total, now_ - it->second.begun};
+  const CounterReply answered{it->second.name, outcome, total, now_ - it->second.begun};
   const bool of_presence = it->second.of_presence;
   calls_.erase(it);
   if (of_presence)
@@ -308,12 +309,12 @@
   probes_[id] = Probe{action.host, now_};
   if (host == hosts_.end()) return EndProbe(id, Outcome::kConnectFailed);
   timers_.Add(now_ + settings_->limits.connect_timeout, id);
-  effects_->push_back(
-      StartProbe{id, action.host, host->second.address, settings_->reports.how != Reports::kNone});
+  effects_->push_back(StartProbe{id, action.host, host->second.address,
+                                 settings_->load_reports.mode != LoadReportMode::kNone});
 }
 
 void Reducer::Take(ProbeAnswered& input) {
-  EndProbe(input.probe, input.status == 200 ? Outcome::kOk : Outcome::kFull, std::move(input.load));
+  EndProbe(input.probe, input.status == 200 ? Outcome::kOk : Outcome::kQueueFull, std::move(input.load));
 }
 
 void Reducer::Take(ProbeBroken& input) { EndProbe(input.probe, Outcome::kConnectFailed); }
@@ -337,7 +338,7 @@
 void Reducer::Take(MembersTold& input) {
   const MemberList& members = input.members;
   HostList list;
-  list.kind = input.cached ? ListKind::kCached : members.all ? ListKind::kFull : ListKind::kDelta;
+  list.kind = input.cached ? HostListKind::kCached : members.all ? HostListKind::kFull : HostListKind::kDelta;
   list.version = members.version;
   std::unordered_map<HostId, HostInfo, IdHash> before;
   if (members.all) before.swap(hosts_);
@@ -345,7 +346,7 @@
     const HostId host = member.entry.host;
     before.erase(host);
     if (member.entry.state != HostState::kReady) HostLeaves(host);
-    if (member.entry.state == HostState::kGone) {
+    if (member.entry.state == HostState::kRemoved) {
       hosts_.erase(host);
     } else {
       hosts_[host] = HostInfo{member.address, member.entry.state};
@@ -364,12 +365,12 @@
 
 void Reducer::Take(MembersFailed&) {
   HostList failed;
-  failed.kind = ListKind::kFailed;
+  failed.kind = HostListKind::kFailed;
   Tell(std::move(failed));
 }
 
-void Reducer::Do(const Watch& action) { effects_->push_back(WatchMembers{action.on}); }
-void Reducer::Do(const FetchList&) { effects_->push_back(FetchMembers{}); }
+void Reducer::Do(const WatchHosts& action) { effects_->push_back(WatchMembers{action.on}); }
+void Reducer::Do(const FetchHostList&) { effects_->push_back(FetchMembers{}); }
 void Reducer::Do(const CloseIdle& action) { effects_->push_back(CloseKept{action.host}); }
 
 // ---- The rest -----------------------------------------------------------------------------------------
@@ -378,10 +379,10 @@
 void Reducer::Due(TimerToken token) { Tell(TimerFired{token}); }
 
 // The platform's protocol has no messages between gateways yet.
-void Reducer::Do(const TellPeer&) {
+void Reducer::Do(const SendToPeer&) {
   if (!std::exchange(peers_said_, true)) effects_->push_back(WriteLog{"no messages to peers: dropped"});
 }
 
-void Reducer::Do(const Log& action) { effects_->push_back(WriteLog{action.text}); }
+void Reducer::Do(const WriteLogLine& action) { effects_->push_back(WriteLog{action.text}); }
 
 }  // namespace curlewdoor
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -116,7 +116,7 @@
 };
 struct StartCall {
   CallId call;
-  CountName name;
+  CounterName name;
   Duration lifetime{};
   double amount = 0;
 };
@@ -175,8 +175,8 @@
   virtual std::size_t undecided() const = 0;
 
   // An upgrade: see Gateway.
-  virtual GatewayMemory HandOn() = 0;
-  virtual void TakeOver(const GatewayMemory& memory) = 0;
+  virtual GatewaySnapshot HandOn() = 0;
+  virtual void TakeOver(const GatewaySnapshot& memory) = 0;
   virtual void ServeAgain(TimePoint now) = 0;
 };
 using CoreFactory = std::function<std::unique_ptr<Core>(const Settings& settings, std::uint64_t seed)>;
@@ -191,11 +191,11 @@
   std::size_t open_requests() const override { return open_requests_; }
   std::size_t attempts_out() const override { return attempts_out_; }
   bool knows_hosts() const override { return !hosts_.empty(); }
-  std::size_t resting(TimePoint now) override { return gateway_.resting(now); }
+  std::size_t resting(TimePoint now) override { return gateway_.ejected_hosts(now); }
   std::size_t undecided() const override;
-  GatewayMemory HandOn() override { return gateway_.HandOn(); }
-  void TakeOver(const GatewayMemory& memory) override { gateway_.TakeOver(memory); }
-  void ServeAgain(TimePoint now) override { gateway_.ServeAgain(now); }
+  GatewaySnapshot HandOn() override { return gateway_.ExportState(); }
+  void TakeOver(const GatewaySnapshot& memory) override { gateway_.ImportState(memory); }
+  void ServeAgain(TimePoint now) override { gateway_.ResumeServing(now); }
 
  private:
   struct Attempt {
@@ -213,7 +213,7 @@
     std::vector<Attempt> attempts;
   };
   struct Call {
-    CountName name;
+    CounterName name;
     TimePoint begun;
     bool written = false;
     bool of_presence = false;
@@ -260,16 +260,16 @@
 
   void Do(const SendAttempt& action);
   void Do(const CancelAttempt& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
+  void Do(const RefuseRequest& action);
+  void Do(const FailRequest& action);
   void Do(const SetTimer& action);
   void Do(const SendProbe& action);
   void Do(const CloseIdle& action);
-  void Do(const TellPeer& action);
-  void Do(const Watch& action);
-  void Do(const FetchList& action);
-  void Do(const AddCount& action);
-  void Do(const Log& action);
+  void Do(const SendToPeer& action);
+  void Do(const WatchHosts& action);
+  void Do(const FetchHostList& action);
+  void Do(const AddToCounter& action);
+  void Do(const WriteLogLine& action);
 
   Attempt* FindOut(AttemptId id);
   void EndAttempt(AttemptId id, Outcome outcome, LoadReport load = {});
@@ -279,8 +279,8 @@
   void CloseRequest(RequestId id, Request& request);
   void ForgetIfDone(RequestId id);
   void HostLeaves(HostId host);
-  void StartCountCall(CountName name, Duration lifetime, double amount, bool of_presence);
-  void EndPresenceCall(CountName name, std::optional<double> total);
+  void StartCountCall(CounterName name, Duration lifetime, double amount, bool of_presence);
+  void EndPresenceCall(CounterName name, std::optional<double> total);
   // Tells the module. What its actions bring about at once is told after them, in order.
   void Tell(Event event);
 
@@ -299,7 +299,7 @@
   std::vector<Event> untold_;
   std::vector<Action> actions_;
   bool telling_ = false, peers_said_ = false;
-  std::optional<counting::Presence> presence_;  // where it is switched on
+  std::optional<quota::Presence> presence_;  // where it is switched on
   bool presence_begun_ = false;
 };
 
--- a/src/handover/snapshot.cpp
+++ b/src/handover/snapshot.cpp
@@ -15,29 +15,32 @@
 constexpr std::size_t kMostOpenIds = 4096;
 
 template <typename Codec, typename M>
-void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, OwnMemory> {
-  codec(m.forgot_at, m.mean_units, m.room, m.mean_density, m.part, m.unseen_for, m.silent, m.call_failures,
-        m.next_test, m.call_rate, m.calls_left, m.calls_at, m.mean_stake, m.admitted, m.counted,
-        m.retry_budget, m.unheard_fails, m.warm_rate, m.warm_answers, m.warm_since);
+void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, LocalState> {
+  codec(m.last_eviction_at, m.mean_units, m.work_limit, m.mean_density, m.visible_fraction, m.undetected_for,
+        m.counter_down, m.failed_calls, m.next_probe_at, m.call_rate, m.call_tokens, m.call_tokens_at,
+        m.mean_stake, m.mean_admitted, m.mean_counted, m.retry_budget, m.stale_failures, m.warm_rate,
+        m.warm_successes, m.warm_since);
 }
 template <typename Codec, typename M>
-void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, CustomerMemory> {
-  codec(m.name, m.plan_name, m.set_size, m.in_set, m.window, m.part, m.held, m.level, m.level_at, m.total,
-        m.own_added, m.owed, m.guessed, m.lease, m.leased_window, m.leased_at, m.own_use, m.all_use, m.use_at,
-        m.ceiling, m.covered, m.ceiling_at, m.seen_at, m.plan_at);
+void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, CustomerState> {
+  codec(m.name, m.plan_name, m.set_size, m.in_set, m.window, m.visible_fraction, m.leased, m.level,
+        m.level_at, m.total, m.local_added, m.unposted, m.assumed_use, m.lease_size, m.lease_window,
+        m.lease_at, m.local_use, m.total_use, m.usage_at, m.ceiling, m.exempt, m.ceiling_at, m.seen_at,
+        m.plan_changed_at);
 }
 template <typename Codec, typename M>
-void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, GatewayMemory::OfHost> {
-  codec(m.host, m.started, m.memory.slowness, m.memory.slowness_at, m.memory.trouble, m.memory.fail_rate,
-        m.memory.trouble_at, m.memory.heard_at, m.memory.cold_budget, m.memory.cold_at);
+void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, GatewaySnapshot::HostRecord> {
+  codec(m.host, m.started, m.memory.slowness, m.memory.slowness_at, m.memory.failures, m.memory.failure_rate,
+        m.memory.failure_at, m.memory.success_at, m.memory.cold_budget, m.memory.cold_at);
 }
 template <typename Codec, typename M>
-void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, GatewayMemory::OfClass> {
+void Fields(Codec& codec,
+            M& m) requires std::is_same_v<std::remove_const_t<M>, GatewaySnapshot::ClassRecord> {
   codec(m.name, m.memory.latency, m.memory.units);
 }
 template <typename Codec, typename M>
 void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, Member> {
-  codec(m.entry.host, m.entry.zone, m.entry.kind, m.entry.cell, m.entry.state, m.entry.size_hint,
+  codec(m.entry.host, m.entry.zone, m.entry.kind, m.entry.cell, m.entry.state, m.entry.capacity_hint,
         m.entry.started, m.address.ip, m.address.port);
 }
 template <typename Codec, typename M>
@@ -59,7 +62,7 @@
 
 template <typename Codec, typename S>
 void All(Codec& codec, S& s) {
-  Fields(codec, s.memory.own);
+  Fields(codec, s.memory.local);
   List(codec, s.memory.hosts);
   List(codec, s.memory.classes);
   codec(s.descriptors, s.members.version);
@@ -80,7 +83,7 @@
     All(body, snapshot);
     if (body.bytes.size() + 24 <= kMostSnapshot || customers.empty()) break;
     customers.resize(customers.size() / 2);
-    snapshot.memory.own.forgot_at = now;
+    snapshot.memory.local.last_eviction_at = now;
   }
   Writer head;
   const std::uint64_t magic = kMagic | kVersion, sum = StableHash(body.bytes);
--- a/src/handover/snapshot.hpp
+++ b/src/handover/snapshot.hpp
@@ -12,7 +12,7 @@
 namespace curlewdoor::handover {
 
 struct Snapshot {
-  GatewayMemory memory;
+  GatewaySnapshot memory;
   MemberList members;                 // as discovery told them last
   std::vector<HostId> out_by_hand;    // and those that operators have taken out
   std::uint32_t descriptors = 0;      // that the old process still holds for what it has taken
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,9 +1,7 @@
 // The decision module. Its interface (settings, events, actions, the class Gateway) is logic.hpp.
-//
-// A request passes, in this order: shedding (can the fleet serve it in time?), the open cap of its customer,
-// the lease on the customer's quota and the ceiling (logic/leases.cpp), the choice of a host, and Issue(),
-// the one place that sends. Refusals and failures leave through Conclude(), the one place that gives final
-// answers.
+// A request passes load shedding, its customer's concurrency limit, the quota lease and the ceiling
+// (logic/leases.cpp), host selection, and Send(), the only place that sends. Finish() is the only place that
+// refuses or fails a request.
 #include "logic.hpp"
 
 #include <algorithm>
@@ -23,50 +21,50 @@
 // ---- Tuned constants ----------------------------------------------------------------------------------
 
 // Hosts.
-constexpr double kUneven = 1.2;          // of an even part of the room: the most that one host holds
-constexpr std::size_t kMet = 8;          // hosts that answered in time lately, looked at first
-constexpr std::size_t kNear = 20;        // hosts at the least that a gateway keeps to, where there are more
-constexpr std::size_t kStrangers = 2;    // others looked at by chance ...
-constexpr double kStrangerWeight = 1.5;  // ... times their delay: when those near have work or trouble
-constexpr double kLatencyStep = 0.1;     // weight of one answer in a host's relative slowness
-constexpr double kMeanStep = 0.02;       // weight of one answer in a class's mean
-constexpr double kSlownessMemory = 10;   // seconds until an unvisited host's slowness is mostly forgotten
-constexpr double kZoneWeight = 5;        // slowness put on a foreign zone per point of its price
-constexpr Duration kRestFirst = milliseconds(250);  // a failing host is left alone, doubling ...
-constexpr Duration kRestLongest = seconds(4);       // ... up to this: a returned host is seen again soon
-constexpr double kRestBound = 0.5;  // of the hosts: more that fail at once point at the fleet or at us
-constexpr int kRestAfter = 3;       // failed or hanging attempts with no answer between them
-constexpr double kFailStep = 0.05;  // weight of one attempt in a host's rate of failure
-constexpr double kFailWeight = 4;   // slowness put on a host per its rate of failure
-constexpr Duration kHeardLately = seconds(5);  // a good answer is so long a sign that a host is well
-constexpr double kUnheardStep = 0.1;           // weight of one attempt in how often hosts not heard from fail
-constexpr double kLateSlowness = 4;  // slowness booked for a late attempt; also the most that one books
-constexpr double kMetWeight = 0.8;   // times the delay of one that answered in time: a doubt about strangers
-constexpr double kTurnWeight = 0.4;  // times the delay of a cold host whose turn has come
-constexpr double kTriedWeight = 4;   // times the delay of a host that this request was sent to before
-constexpr double kLeastSize = 0.05;  // a size hint of zero would make a host look endlessly slow
-constexpr double kWarmStep = 0.3;    // weight of one second in what a warm host answers
-constexpr double kAskAgain = 1;      // seconds, about, until a broken subscription is asked for again
-constexpr double kColdFloor = 1;  // attempts a second to a cold host by all gateways, when nothing is known
+constexpr double kMaxImbalance = 1.2;    // times an even part of the limit: the most for one host
+constexpr std::size_t kRecentHosts = 8;  // recent in-time hosts that are considered first
+constexpr std::size_t kSubsetSize = 20;  // minimum size of the host subset, if there are more
+constexpr std::size_t kRandomHosts = 2;  // random hosts considered besides ...
+constexpr double kRandomWeight = 1.5;    // ... at this factor of their delay: used when the subset is busy
+constexpr double kSlownessStep = 0.1;    // weight of one response in a host's relative slowness
+constexpr double kMeanStep = 0.02;       // weight of one response in a class's mean
+constexpr double kSlownessMemory = 10;   // seconds: time constant of an unused host's slowness
+constexpr double kZoneWeight = 5;        // slowness added for another zone per unit of its price
+constexpr Duration kFirstEjection = milliseconds(250);  // a failing host's first ejection, doubling ...
+constexpr Duration kLongestEjection = seconds(4);       // ... up to this, so a recovered host returns soon
+constexpr double kMaxEjectedPart = 0.5;         // of the hosts: more failures at once have a common cause
+constexpr int kEjectAfter = 3;                  // failed or late attempts without a response between them
+constexpr double kFailureStep = 0.05;           // weight of one attempt in a host's failure rate
+constexpr double kFailureWeight = 4;            // slowness added per failure rate
+constexpr Duration kSuccessValid = seconds(5);  // how long a success shows that a host is healthy
+constexpr double kStaleStep = 0.1;              // weight of one attempt in stale_failure_rate
+constexpr double kLateSlowness = 4;             // recorded for a late attempt; also the maximum for one
+constexpr double kRecentWeight = 0.8;  // times the delay of a recent in-time host: others are less certain
+constexpr double kColdWeight = 0.4;    // times the delay of a cold host with budget
+constexpr double kTriedWeight = 4;     // times the delay of a host that the request already tried
+constexpr double kMinCapacity = 0.05;  // a capacity hint of 0 would make the delay infinite
+constexpr double kWarmStep = 0.3;      // weight of one second in warm_rate
+constexpr double kResubscribe = 1;     // seconds, jittered, until a broken subscription is renewed
+constexpr double kColdFloor = 1;  // attempts per second to a cold host by all gateways if nothing is known
 
 // Attempts and shedding.
-constexpr double kWaitShare = 1.0 / 16;  // of the shortest aim: the most lost waiting for the counter
-constexpr double kRetryEarned = 0.2;     // further attempts earned by a first one: bounds the amplification
-constexpr double kRetryMost = 20;        // further attempts saved up
-constexpr double kRoomFirst = 4;         // attempts out at one host by all gateways, before anything is known
-constexpr double kRoomLeast = 2;         // attempts out at one host by all gateways, however late they are
-constexpr double kRoomChance = 2;        // standard deviations of what comes by chance, above the even part
-constexpr double kRoomGrown = 0.25;      // by an answer in time while the room is used ...
-constexpr double kRoomCut = 0.75;        // ... and cut by a late one: settles where one in four is late
-constexpr double kRoomLost = 1.2;        // cut further by an attempt that took all of the aim
-constexpr double kRoomFine = 4;          // attempts: the steps shrink with a smaller room ...
-constexpr double kRoomSlow = 0.25;       // ... down to this part of them, so that it comes back
-constexpr double kRoomLow = 0.5;         // attempts out at one host by all gateways, whatever is lost
-constexpr double kLateShare = 0.35;      // of the aim: later answers say that hosts queue
-constexpr double kLeastService = 0.05;   // seconds: a return asked for sooner only adds calls
-constexpr double kComeBackSpread = 2;    // service times: spreads the return of what was refused
-constexpr double kShedFrom = 0.4;        // of the room: from here the least worthy are refused
-constexpr double kWorthMost = 1.3;       // times the mean worth for its work: what gets all of the room
+constexpr double kWaitShare = 1.0 / 16;  // of the shortest latency target: the longest wait for the counter
+constexpr double kRetryEarned = 0.2;     // retries earned per first attempt: bounds retry amplification
+constexpr double kRetryMax = 20;         // retries saved up
+constexpr double kLimitFirst = 4;        // initial limit: attempts per host by all gateways
+constexpr double kLimitLate = 2;         // least limit per host where attempts are late
+constexpr double kLimitDeviations = 2;   // standard deviations of random arrivals above the even share
+constexpr double kLimitGrowth = 0.25;    // growth by a response in time while the limit is used ...
+constexpr double kLimitCut = 0.75;       // ... and cut by a late one: balances at one late in four
+constexpr double kLimitCutMissed = 1.2;  // further cut by an attempt that missed its latency target
+constexpr double kLimitSmall = 4;        // attempts: below this limit the steps shrink with it ...
+constexpr double kLimitStepMin = 0.25;   // ... down to this factor, so that it recovers
+constexpr double kLimitLeast = 0.5;      // least limit per host where latency targets are missed
+constexpr double kLateShare = 0.35;      // of the latency target: slower responses indicate queueing
+constexpr double kMinService = 0.05;     // seconds: an earlier client retry only adds load
+constexpr double kAdviceSpread = 2;      // service times: spreads the retries of refused clients
+constexpr double kShedFrom = 0.4;        // of the limit: from here the least valuable are refused
+constexpr double kFullDensity = 1.3;     // times the mean value density: may use all of the limit
 
 void Smooth(double& mean, double value, double step) { mean += (mean == 0 ? 1 : step) * (value - mean); }
 
@@ -74,30 +72,29 @@
 
 // ---- Customers ----------------------------------------------------------------------------------------
 
-// It keeps the settings that it belongs to.
+// The result shares ownership of the settings that hold the plan.
 std::shared_ptr<const Plan> Gateway::Impl::FindPlan(const std::string& name) const {
   for (const Plan& plan : settings_->plans)
     if (plan.name == name) return {settings_, &plan};
   return nullptr;
 }
 
-// Settings are a value: an open request holds those it came under, and what is learnt of a class goes with
-// its last request.
-void Gateway::Impl::Adopt(std::shared_ptr<const Settings> settings) {
+// Open requests keep the settings they arrived under, and a removed class's statistics until their end.
+void Gateway::Impl::ApplySettings(std::shared_ptr<const Settings> settings) {
   settings_ = std::move(settings);
-  std::map<std::string, std::shared_ptr<ClassState>> learnt;
+  std::map<std::string, std::shared_ptr<ClassState>> stats;
   Duration wait = Duration::max();
   for (const RequestClass& k : settings_->classes) {
-    const auto known = learnt_.find(k.name);
-    learnt[k.name] = known != learnt_.end() ? known->second : std::make_shared<ClassState>();
-    wait = std::min(wait, FromSeconds(Seconds(k.aim) * kWaitShare));
+    const auto known = stats_.find(k.name);
+    stats[k.name] = known != stats_.end() ? known->second : std::make_shared<ClassState>();
+    wait = std::min(wait, FromSeconds(Seconds(k.latency_target) * kWaitShare));
   }
-  learnt_.swap(learnt);
+  stats_.swap(stats);
   leases_.Configure(now_, {.gateways = Gateways(),
                            .wait = wait,
                            .largest_request = settings_->quota.largest_request,
                            .counter = settings_->counter.available});
-  leases_.Replan(now_, [this](const std::string& name) { return FindPlan(name); });
+  leases_.UpdatePlans(now_, [this](const std::string& name) { return FindPlan(name); });
 }
 
 Customer* Gateway::Impl::FindCustomer(const RequestArrived& event) {
@@ -106,343 +103,345 @@
   const auto plan = FindPlan(event.plan);
   if (plan == nullptr) return nullptr;
   const int size = std::clamp(event.set_size, 1, Gateways());
-  const bool in_set = ((settings_->me - event.set_first) % Gateways() + Gateways()) % Gateways() < size;
-  return &leases_.Meet(now_, event.customer, plan, size, in_set);
+  const bool in_set =
+      ((settings_->own_index - event.set_first) % Gateways() + Gateways()) % Gateways() < size;
+  return &leases_.FindOrCreate(now_, event.customer, plan, size, in_set);
 }
 
 void Gateway::Impl::Admit(Claim& claim) {
   const RequestId id = claim.id;
   Dispatch(static_cast<Request&>(claim));
-  Forget(id);
+  EraseIfDone(id);
 }
 
 void Gateway::Impl::Deny(Claim& claim, Duration retry_after) {
   const RequestId id = claim.id;
-  Conclude(static_cast<Request&>(claim), true, retry_after);
-  Forget(id);
+  Finish(static_cast<Request&>(claim), true, retry_after);
+  EraseIfDone(id);
 }
 
-bool Gateway::Impl::UnderOpenCap(Request& r) {
+bool Gateway::Impl::WithinConcurrencyLimit(Request& r) {
   const Customer& c = *r.customer;
-  if (c.plan->open_cap <= 0) return true;
-  if (c.open < std::max(1.0, std::floor(c.plan->open_cap * leases_.Share(c) + 0.5))) return true;
-  Conclude(r, true, ComeBack(r));
+  if (c.plan->max_concurrent <= 0) return true;
+  if (c.open < std::max(1.0, std::floor(c.plan->max_concurrent * leases_.Share(c) + 0.5))) return true;
+  Finish(r, true, RetryAdvice(r));
   return false;
 }
 
 // ---- Host health and choice ---------------------------------------------------------------------------
 
 void Gateway::Impl::On(const HostList& event) {
-  if (event.kind == ListKind::kFailed) {
-    if (settings_->discovery == Discovery::kAsk)
-      Act(SetTimer{TimerToken{0}, FromSeconds(kAskAgain * (0.5 + Random()))});
+  if (event.kind == HostListKind::kFailed) {
+    if (settings_->discovery == DiscoveryMode::kSubscribe)
+      Emit(SetTimer{TimerToken{0}, FromSeconds(kResubscribe * (0.5 + Random()))});
     return;
   }
-  if (event.kind != ListKind::kDelta)
+  if (event.kind != HostListKind::kDelta)
     for (auto& [id, h] : hosts_) h.listed = false;
   for (const HostEntry& entry : event.entries) {
     Host& h = hosts_[entry.host];
-    if (h.entry.started != entry.started) {  // a new process: what was known of the old one is void
-      // The budget is by chance: gateways that learn of it together don't send their first together.
-      static_cast<HostMemory&>(h) = HostMemory{.cold_budget = Random(), .cold_at = now_};
+    if (h.entry.started != entry.started) {  // a new process: discard statistics of the old one
+      // Random budget: gateways that learn of the host together do not send their first attempts together.
+      static_cast<HostStats&>(h) = HostStats{.cold_budget = Random(), .cold_at = now_};
     }
     h.entry = entry;
-    h.listed = entry.state == HostState::kReady;  // rule 3: draining or gone gets nothing from now on
+    h.listed = entry.state == HostState::kReady;  // rule 3: a draining or removed host gets nothing
   }
   ready_.clear();
-  sizes_ = 0;
+  total_capacity_ = 0;
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     if (it->second.listed) {
       ready_.push_back(&it->second);
-      sizes_ += Size(it->second);
+      total_capacity_ += Capacity(it->second);
     }
-    it = !it->second.listed && it->second.out == 0 ? hosts_.erase(it) : std::next(it);
+    it = !it->second.listed && it->second.pending == 0 ? hosts_.erase(it) : std::next(it);
   }
-  PickNear();
+  SelectSubset();
 }
 
-// As many gateways in sequence as there are slices share out all hosts among them, in an order of their own.
-// So each host is near as many gateways as any other, and one that joins or leaves moves each slice's bounds
-// by a place. Guards against a hundred gateways that each meet every host: more connections than requests,
-// hosts that fail or are slow learnt of a hundred times over, none met often enough to be known.
-void Gateway::Impl::PickNear() {
-  const std::size_t all = ready_.size(), slices = std::max<std::size_t>(1, all / kNear);
-  const auto me = static_cast<std::size_t>(std::max(0, settings_->me));
+// Subsetting: as many consecutive gateways as there are slices split a shuffled host list. So each host is in
+// equally many subsets, and a change of one host moves each bound by one place. Without it, a hundred
+// gateways use every host: more connections than requests, and too few samples per host to detect bad ones.
+void Gateway::Impl::SelectSubset() {
+  const std::size_t all = ready_.size(), slices = std::max<std::size_t>(1, all / kSubsetSize);
+  const auto own = static_cast<std::size_t>(std::max(0, settings_->own_index));
   std::vector<std::pair<std::uint64_t, Host*>> order;
-  for (Host* h : ready_) order.push_back({StableHash(std::to_string(h->entry.host.value), me / slices), h});
+  for (Host* h : ready_) order.push_back({StableHash(std::to_string(h->entry.host.value), own / slices), h});
   std::sort(order.begin(), order.end());
-  near_.clear();
-  const std::size_t slot = me % slices, end = (slot + 1) * all / slices;
-  for (std::size_t i = slot * all / slices; i < end; ++i) near_.push_back(order[i].second);
+  subset_.clear();
+  const std::size_t slot = own % slices, end = (slot + 1) * all / slices;
+  for (std::size_t i = slot * all / slices; i < end; ++i) subset_.push_back(order[i].second);
 }
 
 bool Gateway::Impl::IsCold(const Host& h) const {
   return h.entry.started != TimePoint{} && now_ < h.entry.started + settings_->rules.cold_time;
 }
 
-double Gateway::Impl::ColdPart(const Host& h) const {
+double Gateway::Impl::ColdCapacity(const Host& h) const {
   const double age = std::max(0.0, Seconds(now_ - h.entry.started) / Seconds(settings_->rules.cold_time));
   return settings_->rules.cold_from + (1 - settings_->rules.cold_from) * std::min(1.0, age);
 }
 
-// Rule 4. A cold host gets what a warm one takes from this gateway, times the part it can do. If every
-// gateway keeps to that, all of them together stay at the part, a factor of fall_multiple under the bound.
-double Gateway::Impl::RefillCold(Host& h) {
-  const double rate = std::max(kColdFloor / Gateways(), own_.warm_rate) * ColdPart(h);
+// Rule 4. A cold host gets a warm host's rate from this gateway times its cold capacity. If all gateways do
+// so, their sum stays at that capacity, a factor of overload_factor below the bound.
+double Gateway::Impl::RefillColdBudget(Host& h) {
+  const double rate = std::max(kColdFloor / Gateways(), load_.warm_rate) * ColdCapacity(h);
   h.cold_budget = std::min(1.0, h.cold_budget + rate * Seconds(now_ - h.cold_at));
   h.cold_at = now_;
   return h.cold_budget;
 }
 
-double Gateway::Impl::Size(const Host& h) const {
-  return settings_->size_hint == SizeHint::kNone ? 1 : std::max(kLeastSize, h.entry.size_hint);
+double Gateway::Impl::Capacity(const Host& h) const {
+  return settings_->capacity_hint == CapacityHint::kNone ? 1 : std::max(kMinCapacity, h.entry.capacity_hint);
 }
 
-// Expected delay at a host, in service times of a usual one, by this gateway's own attempts only: reported
-// loads are old, and all gateways then turn to the same host at once (measured: worse even if smoothed).
-//
-// A host not heard from lately counts as failing as often as such hosts do, whatever it did before. Guards
-// against each of many hosts that went together being tried in turn; it eases as strangers answer.
-double Gateway::Impl::Delay(const Host& h) const {
+// Expected delay at a host, in service times of a usual one, from this gateway's own attempts only: reported
+// loads are old and send all gateways to the same host at once (measured: worse even if smoothed). A host
+// without a recent success is rated at least at the failure rate of such hosts, so hosts that fail together
+// are not tried one by one; the rate falls as such hosts succeed.
+double Gateway::Impl::ExpectedDelay(const Host& h) const {
   const double slow_age = Seconds(now_ - h.slowness_at) / kSlownessMemory;
   const double slowness = 1 + (h.slowness - 1) * std::exp(-slow_age);
   const double risk =
-      now_ < h.heard_at + kHeardLately ? h.fail_rate : std::max(h.fail_rate, own_.unheard_fails);
+      now_ < h.success_at + kSuccessValid ? h.failure_rate : std::max(h.failure_rate, load_.stale_failures);
   const double zone = h.entry.zone != settings_->zone ? kZoneWeight * settings_->prices.cross_zone : 0;
-  return (slowness + zone) * (1 + h.trouble + kFailWeight * risk) * (1 + h.load) / Size(h);
+  return (slowness + zone) * (1 + h.failures + kFailureWeight * risk) * (1 + h.load) / Capacity(h);
 }
 
-bool Gateway::Impl::MayRepeatAt(const Request& r, const Host& h) const {
+bool Gateway::Impl::MayRetryOn(const Request& r, const Host& h) const {
   for (const Attempt& a : r.attempts) {
-    if (a.out && !settings_->limits.second_copies) return false;
-    if (!a.may_have_run || r.kind->repeat == Repeat::kSafe) continue;
-    if (r.kind->repeat == Repeat::kUnsafe) return false;
-    if (now_ >= a.sent + r.kind->repeat_window) return false;
+    if (a.pending && !settings_->limits.second_copies) return false;
+    if (!a.may_have_run || r.traits->repeat == RepeatSafety::kSafe) continue;
+    if (r.traits->repeat == RepeatSafety::kUnsafe) return false;
+    if (now_ >= a.sent + r.traits->dedup_window) return false;
     const auto first = hosts_.find(a.host);
-    if (r.kind->group == RepeatGroup::kAll || a.host == h.entry.host) continue;
+    if (r.traits->dedup_scope == DedupScope::kAll || a.host == h.entry.host) continue;
     if (first == hosts_.end() || first->second.entry.zone != h.entry.zone) return false;
-    if (r.kind->group == RepeatGroup::kCell && first->second.entry.cell != h.entry.cell) return false;
+    if (r.traits->dedup_scope == DedupScope::kCell && first->second.entry.cell != h.entry.cell) return false;
   }
   return true;
 }
 
-Host* Gateway::Impl::Choose(const Request& r) {
+Host* Gateway::Impl::ChooseHost(const Request& r) {
   if (ready_.empty()) return nullptr;
   const std::size_t start = rng_() % ready_.size();
-  const Duration longest = LongestRest();
+  const Duration longest = MaxEjection();
   Host* best = nullptr;
   double best_delay = 0;
   const auto look_at = [&](Host& h, double weight) {
-    if (Resting(h, longest)) return;
-    // Guards against a host that looks best, by chance or mistake, being pushed over its limit.
-    if (h.load > std::max(1.0, kUneven * own_.room * Size(h) / sizes_)) return;
-    if (!h.listed || !MayRepeatAt(r, h) || (IsCold(h) && RefillCold(h) < 1)) return;
+    if (IsEjected(h, longest)) return;
+    // Prevents overload of a host that looks best by chance or by mistake.
+    if (h.load > std::max(1.0, kMaxImbalance * load_.work_limit * Capacity(h) / total_capacity_)) return;
+    if (!h.listed || !MayRetryOn(r, h) || (IsCold(h) && RefillColdBudget(h) < 1)) return;
     const bool tried = std::any_of(r.attempts.begin(), r.attempts.end(),
                                    [&](const Attempt& a) { return a.host == h.entry.host; });
-    const double delay = Delay(h) * (tried ? kTriedWeight : 1) * (IsCold(h) ? kTurnWeight : weight);
+    const double delay = ExpectedDelay(h) * (tried ? kTriedWeight : 1) * (IsCold(h) ? kColdWeight : weight);
     if (best != nullptr && delay >= best_delay) return;
     best = &h;
     best_delay = delay;
   };
-  // With hundreds of gateways each meets a host too seldom to know it. It returns to few that served it
-  // well; one that gets slow or fails loses its place. Harms if all keep to the same.
-  for (HostId id : r.learnt->met)
-    if (const auto it = hosts_.find(id); it != hosts_.end()) look_at(it->second, kMetWeight);
-  // A cold host is paced by its own budget (rule 4), not by how it compares: where each gateway hardly loads
-  // a host, a warm one would always look better, and replacements would idle while the warm ones drown.
+  // With hundreds of gateways each has few samples per host, so it prefers hosts that recently served it
+  // well. A slow or failing one loses its place. Harmful if all gateways prefer the same hosts.
+  for (HostId id : r.stats->recent_hosts)
+    if (const auto it = hosts_.find(id); it != hosts_.end()) look_at(it->second, kRecentWeight);
+  // A cold host is paced by its budget (rule 4), not by comparison: where each gateway barely loads a host, a
+  // warm one always looks better, and replacements would idle while the warm hosts are overloaded.
   for (Host* h : ready_)
     if (IsCold(*h)) look_at(*h, 1);
-  for (std::size_t i = 0; i < near_.size(); ++i) look_at(*near_[(start + i) % near_.size()], 1);
-  for (std::size_t i = 0; i < kStrangers; ++i) look_at(*ready_[(start + i) % ready_.size()], kStrangerWeight);
+  for (std::size_t i = 0; i < subset_.size(); ++i) look_at(*subset_[(start + i) % subset_.size()], 1);
+  for (std::size_t i = 0; i < kRandomHosts; ++i) look_at(*ready_[(start + i) % ready_.size()], kRandomWeight);
   return best;
 }
 
-// A host that keeps failing, or hangs, rests for longer and longer spells, then gets one attempt at a time.
-// Guards against hosts that fail fast, hang or are gone. One that fails now and then is given less.
-void Gateway::Impl::NoteTrouble(Host& h) {
-  h.fail_rate += kFailStep * (1 - h.fail_rate);
-  ++h.trouble;
-  h.trouble_at = now_;
+// A host that keeps failing or hanging is ejected for growing periods, then gets one attempt at a time. A
+// host that fails occasionally gets less traffic.
+void Gateway::Impl::RecordFailure(Host& h) {
+  h.failure_rate += kFailureStep * (1 - h.failure_rate);
+  ++h.failures;
+  h.failure_at = now_;
 }
 
-bool Gateway::Impl::Resting(const Host& h, Duration longest) const {
-  if (h.trouble < kRestAfter) return false;
-  const Duration rest = std::min(longest, kRestFirst * (1 << std::min(4, h.trouble - kRestAfter)));
-  return now_ < h.trouble_at + rest || (h.out > 0 && longest == kRestLongest);
+bool Gateway::Impl::IsEjected(const Host& h, Duration longest) const {
+  if (h.failures < kEjectAfter) return false;
+  const Duration rest = std::min(longest, kFirstEjection * (1 << std::min(4, h.failures - kEjectAfter)));
+  return now_ < h.failure_at + rest || (h.pending > 0 && longest == kLongestEjection);
 }
 
-std::size_t Gateway::Impl::CountResting(Duration longest) const {
+std::size_t Gateway::Impl::CountEjected(Duration longest) const {
   return static_cast<std::size_t>(
-      std::count_if(ready_.begin(), ready_.end(), [&](const Host* h) { return Resting(*h, longest); }));
+      std::count_if(ready_.begin(), ready_.end(), [&](const Host* h) { return IsEjected(*h, longest); }));
 }
 
-// Many hosts failing at once point at the fleet, the network or this gateway: then none rests for long.
-Duration Gateway::Impl::LongestRest() const {
-  const auto resting = static_cast<double>(CountResting(kRestLongest));
-  return resting > kRestBound * static_cast<double>(ready_.size()) ? kRestFirst : kRestLongest;
+// Many failing hosts point at the fleet, the network or this gateway: then ejections are short.
+Duration Gateway::Impl::MaxEjection() const {
+  const auto ejected = static_cast<double>(CountEjected(kLongestEjection));
+  return ejected > kMaxEjectedPart * static_cast<double>(ready_.size()) ? kFirstEjection : kLongestEjection;
 }
 
-void Gateway::Impl::NoteSlowness(Host& h, double slowness) {
-  h.slowness += kLatencyStep * (std::min(kLateSlowness, slowness) - h.slowness);
+void Gateway::Impl::RecordSlowness(Host& h, double slowness) {
+  h.slowness += kSlownessStep * (std::min(kLateSlowness, slowness) - h.slowness);
   h.slowness_at = now_;
 }
 
-void Gateway::Impl::NoteLate(Host& h) {
-  MoveRoom(-kRoomCut, Room(kRoomLeast));
-  NoteSlowness(h, kLateSlowness);
-  NoteTrouble(h);
+void Gateway::Impl::RecordLate(Host& h) {
+  AdjustLimit(-kLimitCut, ConcurrencyShare(kLimitLate));
+  RecordSlowness(h, kLateSlowness);
+  RecordFailure(h);
 }
 
-void Gateway::Impl::SweepDue() {
-  for (auto& [name, state] : learnt_) {
-    for (; !state->due.empty() && state->due.front().at <= now_; state->due.pop_front()) {
-      const auto it = requests_.find(state->due.front().id);
+void Gateway::Impl::MarkOverdue() {
+  for (auto& [name, state] : stats_) {
+    for (; !state->deadlines.empty() && state->deadlines.front().at <= now_; state->deadlines.pop_front()) {
+      const auto it = requests_.find(state->deadlines.front().id);
       if (it == requests_.end()) continue;
-      Attempt& attempt = it->second.attempts[state->due.front().attempt];
+      Attempt& attempt = it->second.attempts[state->deadlines.front().attempt];
       const auto host = hosts_.find(attempt.host);
-      if (!attempt.out || attempt.started || host == hosts_.end()) continue;
+      if (!attempt.pending || attempt.started || host == hosts_.end()) continue;
       attempt.late = true;
-      out_now_ = std::max(0.0, out_now_ - attempt.weight);  // noted: from here on it may as well be lost
-      NoteLate(host->second);
+      pending_work_ = std::max(0.0, pending_work_ - attempt.weight);  // recorded as late: it may be lost
+      RecordLate(host->second);
     }
   }
 }
 
-void Gateway::Impl::NoteOutcome(Host& h, const Request& r, const Attempt& attempt,
-                                const AttemptEnded& event) {
-  h.out = std::max(0, h.out - 1);
-  h.load = h.out == 0 ? 0 : std::max(0.0, h.load - attempt.weight);
-  if (event.outcome == Outcome::kCancelled || event.outcome == Outcome::kMoot) return;
+void Gateway::Impl::RecordOutcome(Host& h, const Request& r, const Attempt& attempt,
+                                  const AttemptEnded& event) {
+  h.pending = std::max(0, h.pending - 1);
+  h.load = h.pending == 0 ? 0 : std::max(0.0, h.load - attempt.weight);
+  if (event.outcome == Outcome::kCancelled || event.outcome == Outcome::kDiscarded) return;
   const bool failed = event.outcome != Outcome::kOk;
-  if (attempt.sent >= h.heard_at + kHeardLately)
-    own_.unheard_fails += kUnheardStep * (failed - own_.unheard_fails);
-  if (attempt.started && !failed) return;  // how long a stream ran tells nothing
-  const bool late = event.latency >= LateAfter(r);
-  if (late && !attempt.late) NoteLate(h);
-  if (event.latency >= r.kind->aim) MoveRoom(-kRoomLost, 0);
+  if (attempt.sent >= h.success_at + kSuccessValid)
+    load_.stale_failures += kStaleStep * (failed - load_.stale_failures);
+  if (attempt.started && !failed) return;  // a stream's duration says nothing about the host
+  const bool late = event.latency >= LateThreshold(r);
+  if (late && !attempt.late) RecordLate(h);
+  if (event.latency >= r.traits->latency_target) AdjustLimit(-kLimitCutMissed, 0);
   if (event.outcome == Outcome::kTimeout) return;
-  if (failed) return NoteTrouble(h);
-  NoteWarmRate(h);
-  h.heard_at = now_;
-  ClassState& mean = *r.learnt;
-  const double latency = Seconds(event.latency), expected = Expected(r);
+  if (failed) return RecordFailure(h);
+  UpdateWarmRate(h);
+  h.success_at = now_;
+  ClassState& mean = *r.stats;
+  const double latency = Seconds(event.latency), expected = ExpectedTime(r);
   Smooth(mean.latency, latency, kMeanStep);
   Smooth(mean.units, r.units, kMeanStep);
-  h.trouble = 0;  // late or not, it answers
-  h.fail_rate -= kFailStep * h.fail_rate;
+  h.failures = 0;  // late or not, it responds
+  h.failure_rate -= kFailureStep * h.failure_rate;
   if (late) return;
-  if (expected > 0) NoteSlowness(h, latency / expected);
-  std::erase(mean.met, h.entry.host);
-  mean.met.push_front(h.entry.host);
-  if (mean.met.size() > kMet) mean.met.pop_back();
-  if (out_now_ + attempt.weight >= own_.room / 2) MoveRoom(kRoomGrown, 0);
+  if (expected > 0) RecordSlowness(h, latency / expected);
+  std::erase(mean.recent_hosts, h.entry.host);
+  mean.recent_hosts.push_front(h.entry.host);
+  if (mean.recent_hosts.size() > kRecentHosts) mean.recent_hosts.pop_back();
+  if (pending_work_ + attempt.weight >= load_.work_limit / 2) AdjustLimit(kLimitGrowth, 0);
 }
 
-double Gateway::Impl::EvenPart(double each) const {
+double Gateway::Impl::EvenShare(double each) const {
   return each * static_cast<double>(ready_.size()) / Gateways();
 }
 
-// This gateway's part of what the hosts may have in work, and above it what requests that meet by chance
-// need. Guards against hundreds of gateways of which each may have one attempt out and none more.
-double Gateway::Impl::Room(double per_host) const {
-  const double part = EvenPart(per_host);
-  return std::max(1.0, part + kRoomChance * std::sqrt(part));
+// This gateway's even share of the hosts' concurrency plus a margin for random bursts. Without the margin
+// each of hundreds of gateways is limited to one outstanding attempt.
+double Gateway::Impl::ConcurrencyShare(double per_host) const {
+  const double part = EvenShare(per_host);
+  return std::max(1.0, part + kLimitDeviations * std::sqrt(part));
 }
 
-// Steps are a part of a small room. What comes late leaves the even part; only work that missed its aim takes
-// more. Guards against hundreds of gateways that keep an overloaded fleet so with one attempt each.
-void Gateway::Impl::MoveRoom(double step, double least) {
-  own_.room = std::max(std::min(own_.room, std::max(EvenPart(kRoomLow), least)),
-                       own_.room + step * std::clamp(own_.room / kRoomFine, kRoomSlow, 1.0));
+// Steps shrink with a small limit. Late work does not cut it below the even share; missed targets do, so that
+// hundreds of gateways with one attempt each cannot keep a fleet overloaded.
+void Gateway::Impl::AdjustLimit(double step, double least) {
+  load_.work_limit =
+      std::max(std::min(load_.work_limit, std::max(EvenShare(kLimitLeast), least)),
+               load_.work_limit + step * std::clamp(load_.work_limit / kLimitSmall, kLimitStepMin, 1.0));
 }
 
-double Gateway::Impl::Expected(const Request& r) const {
-  const ClassState& state = *r.learnt;
+double Gateway::Impl::ExpectedTime(const Request& r) const {
+  const ClassState& state = *r.stats;
   return state.units > 0 ? state.latency * r.units / state.units : 0;
 }
 
-Duration Gateway::Impl::LateAfter(const Request& r) const {
-  const double own = std::max(0.0, Expected(r) - r.learnt->latency);
-  return std::min(r.kind->aim, FromSeconds(Seconds(r.kind->aim) * kLateShare + own));
+Duration Gateway::Impl::LateThreshold(const Request& r) const {
+  const double own = std::max(0.0, ExpectedTime(r) - r.stats->latency);
+  return std::min(r.traits->latency_target,
+                  FromSeconds(Seconds(r.traits->latency_target) * kLateShare + own));
 }
 
-void Gateway::Impl::NoteWarmRate(const Host& h) {
-  if (!IsCold(h)) ++own_.warm_answers;
-  if (now_ - own_.warm_since < seconds(1)) return;
+void Gateway::Impl::UpdateWarmRate(const Host& h) {
+  if (!IsCold(h)) ++load_.warm_successes;
+  if (now_ - load_.warm_since < seconds(1)) return;
   const auto warm = std::count_if(ready_.begin(), ready_.end(), [&](Host* w) { return !IsCold(*w); });
-  if (warm > 0) {  // with all of them cold, what is known of the warm still holds
-    const double rate = own_.warm_answers / Seconds(now_ - own_.warm_since) / static_cast<double>(warm);
-    Smooth(own_.warm_rate, rate, kWarmStep);
+  if (warm > 0) {  // with no warm host the last rate stays
+    const double rate = load_.warm_successes / Seconds(now_ - load_.warm_since) / static_cast<double>(warm);
+    Smooth(load_.warm_rate, rate, kWarmStep);
   }
-  own_.warm_answers = 0;
-  own_.warm_since = now_;
+  load_.warm_successes = 0;
+  load_.warm_since = now_;
 }
 
 // ---- Attempts -----------------------------------------------------------------------------------------
 
-// The one place that sends. Every rule on sending is checked here, whatever led to it.
-bool Gateway::Impl::Issue(Request& r, Host& h) {
+// The only place that sends. Checks every rule on sending, whatever the caller.
+bool Gateway::Impl::Send(Request& r, Host& h) {
   if (r.closed || now_ >= r.deadline) return false;  // rule 1
-  if (static_cast<int>(r.attempts.size()) >= r.under->limits.max_attempts) return false;
-  if (!MayRepeatAt(r, h)) return false;                                   // rule 2
-  if (!h.listed) return false;                                            // rule 3
-  if (IsCold(h) && RefillCold(h) < 1) return false;                       // rule 4
-  if (r.attempts.empty() && !leases_.PassCeiling(now_, r)) return false;  // rule 5
+  if (static_cast<int>(r.attempts.size()) >= r.settings->limits.max_attempts) return false;
+  if (!MayRetryOn(r, h)) return false;                                      // rule 2
+  if (!h.listed) return false;                                              // rule 3
+  if (IsCold(h) && RefillColdBudget(h) < 1) return false;                   // rule 4
+  if (r.attempts.empty() && !leases_.ChargeCeiling(now_, r)) return false;  // rule 5
   if (IsCold(h)) h.cold_budget -= 1;
-  const double weight = own_.mean_units > 0 ? r.units / own_.mean_units : 1;
+  const double weight = load_.mean_units > 0 ? r.units / load_.mean_units : 1;
   r.attempts.push_back({h.entry.host, now_, weight});
-  ++h.out;
+  ++h.pending;
   h.load += weight;
   ++r.customer->open;
-  out_now_ += weight;
-  r.learnt->due.push_back({r.id, r.attempts.size() - 1, now_ + LateAfter(r)});
-  Act(SendAttempt{r.id, h.entry.host, GiveUpAt(r)});
+  pending_work_ += weight;
+  r.stats->deadlines.push_back({r.id, r.attempts.size() - 1, now_ + LateThreshold(r)});
+  Emit(SendAttempt{r.id, h.entry.host, AttemptExpiry(r)});
   return true;
 }
 
-// When an attempt is given up: at the aim where a late answer is worth nothing, so that it frees the host.
-TimePoint Gateway::Impl::GiveUpAt(const Request& r) const {
-  const bool worthless = r.kind->late_worth <= 0 && r.kind->aim_stretch <= 0;
-  return worthless ? std::min(r.deadline, r.arrived + r.kind->aim) : r.deadline;
+// When an attempt expires: at the latency target if a late response is worthless, which frees the host.
+TimePoint Gateway::Impl::AttemptExpiry(const Request& r) const {
+  const bool worthless = r.traits->late_worth <= 0 && r.traits->latency_target_stretch <= 0;
+  return worthless ? std::min(r.deadline, r.arrived + r.traits->latency_target) : r.deadline;
 }
 
 void Gateway::Impl::Dispatch(Request& r) {
   const auto over = leases_.OverCeiling(now_, r);
-  Host* h = over ? nullptr : Choose(r);
-  if (h != nullptr && Issue(r, *h)) return;
-  leases_.Return(now_, r);
-  Conclude(r, true, over ? *over : ComeBack(r));
+  Host* h = over ? nullptr : ChooseHost(r);
+  if (h != nullptr && Send(r, *h)) return;
+  leases_.Release(now_, r);
+  Finish(r, true, over ? *over : RetryAdvice(r));
 }
 
 bool Gateway::Impl::MayRefuse(const Request& r) const {
-  const bool keyed_by_all = r.kind->repeat == Repeat::kKeyed && r.kind->group == RepeatGroup::kAll;
-  if (r.kind->repeat == Repeat::kSafe || keyed_by_all) return true;
+  const bool keyed_by_all =
+      r.traits->repeat == RepeatSafety::kKeyed && r.traits->dedup_scope == DedupScope::kAll;
+  if (r.traits->repeat == RepeatSafety::kSafe || keyed_by_all) return true;
   return std::none_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
 }
 
-void Gateway::Impl::Conclude(Request& r, bool refuse, Duration retry_after) {
+void Gateway::Impl::Finish(Request& r, bool refuse, Duration retry_after) {
   if (r.closed) return;
   r.closed = true;
   if (!refuse || !MayRefuse(r)) {
-    Act(Fail{r.id});
+    Emit(FailRequest{r.id});
   } else {
     const Duration advice = std::max<Duration>(retry_after, Duration::zero());
-    Act(Refuse{r.id, settings_->limits.retry_after ? advice : Duration::zero()});
+    Emit(RefuseRequest{r.id, settings_->limits.retry_after ? advice : Duration::zero()});
   }
-  CancelOut(r);
+  CancelPending(r);
 }
 
-void Gateway::Impl::CancelOut(Request& r) {
+void Gateway::Impl::CancelPending(Request& r) {
   if (!settings_->limits.cancel) return;
   for (std::size_t i = 0; i < r.attempts.size(); ++i)
-    if (r.attempts[i].out && !r.attempts[i].started) Act(CancelAttempt{r.id, static_cast<int>(i)});
+    if (r.attempts[i].pending && !r.attempts[i].started) Emit(CancelAttempt{r.id, static_cast<int>(i)});
 }
 
-void Gateway::Impl::Forget(RequestId id) {
+void Gateway::Impl::EraseIfDone(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.closed) return;
   for (const Attempt& a : it->second.attempts)
-    if (a.out) return;
+    if (a.pending) return;
   requests_.erase(it);
 }
 
@@ -452,155 +451,157 @@
   if (found == requests_.end() || index >= found->second.attempts.size()) return;
   Request& r = found->second;
   Attempt& attempt = r.attempts[index];
-  if (!attempt.out) return;
-  attempt.out = false;
-  if (!attempt.late) out_now_ = std::max(0.0, out_now_ - attempt.weight);
+  if (!attempt.pending) return;
+  attempt.pending = false;
+  if (!attempt.late) pending_work_ = std::max(0.0, pending_work_ - attempt.weight);
   const auto host = hosts_.find(event.host);
-  if (host != hosts_.end()) NoteOutcome(host->second, r, attempt, event);
-  attempt.may_have_run = event.outcome != Outcome::kFull && event.outcome != Outcome::kConnectFailed &&
-                         event.outcome != Outcome::kMoot;
+  if (host != hosts_.end()) RecordOutcome(host->second, r, attempt, event);
+  attempt.may_have_run = event.outcome != Outcome::kQueueFull && event.outcome != Outcome::kConnectFailed &&
+                         event.outcome != Outcome::kDiscarded;
   --r.customer->open;
-  if (event.outcome == Outcome::kOk && settings_->quota.settles) leases_.Settle(now_, r, event.true_units);
+  if (event.outcome == Outcome::kOk && settings_->quota.settles) leases_.Settle(now_, r, event.actual_units);
   if (event.closed && !r.closed) {
     r.closed = true;
-    CancelOut(r);
+    CancelPending(r);
   }
-  if (!r.closed && !TryAgain(r)) {
-    const bool waiting = std::any_of(r.attempts.begin(), r.attempts.end(), [](auto& a) { return a.out; });
-    if (!waiting) Conclude(r, true, ComeBack(r));
+  if (!r.closed && !Retry(r)) {
+    const bool waiting = std::any_of(r.attempts.begin(), r.attempts.end(), [](auto& a) { return a.pending; });
+    if (!waiting) Finish(r, true, RetryAdvice(r));
   }
-  Forget(event.id);
+  EraseIfDone(event.id);
 }
 
-// A stream has begun: the request is bound to this attempt, any other is called off.
+// A stream has started: the request is bound to this attempt, and all others are cancelled.
 void Gateway::Impl::On(const AttemptStarted& event) {
   const auto found = requests_.find(event.id);
   const auto index = static_cast<std::size_t>(event.attempt);
   if (found == requests_.end() || index >= found->second.attempts.size()) return;
   found->second.attempts[index].started = true;
-  CancelOut(found->second);
+  CancelPending(found->second);
 }
 
-// What never ran, such as an attempt whose connection was refused, cost no host any work, and the next one
-// takes nothing from the budget. Guards against requests given up while a zone or a release's old hosts go.
-bool Gateway::Impl::TryAgain(Request& r) {
-  const double expected = r.learnt->latency;
+// A retry after an attempt that never ran (connection refused) cost no host any work and uses no retry
+// budget. Otherwise requests fail when a zone or a release's old hosts go down.
+bool Gateway::Impl::Retry(Request& r) {
+  const double expected = r.stats->latency;
   const bool free = !r.attempts.back().may_have_run;
-  if ((own_.retry_budget < 1 && !free) || now_ + FromSeconds(expected / 2) >= GiveUpAt(r)) return false;
-  Host* h = Choose(r);
-  if (h == nullptr || !Issue(r, *h)) return false;
-  if (!free) own_.retry_budget -= 1;
+  if ((load_.retry_budget < 1 && !free) || now_ + FromSeconds(expected / 2) >= AttemptExpiry(r)) return false;
+  Host* h = ChooseHost(r);
+  if (h == nullptr || !Send(r, *h)) return false;
+  if (!free) load_.retry_budget -= 1;
   return true;
 }
 
 // ---- Shedding -----------------------------------------------------------------------------------------
 
-double Gateway::Impl::Density(const Request& r) {
-  const ClassState& mean = *r.learnt;
+double Gateway::Impl::ValueDensity(const Request& r) {
+  const ClassState& mean = *r.stats;
   const double work = mean.latency > 0 ? mean.latency / std::max(1e-6, mean.units) : 1;
-  return r.kind->worth * r.customer->plan->price / work;
+  return r.traits->worth * r.customer->plan->price / work;
 }
 
-// Whether it can be served in time. A late try may come with next to no time left (guards rule 1: it never
-// waits for the counter). When the fleet's room runs out, the least worthy go first.
-bool Gateway::Impl::Fits(const Request& r) {
-  const Duration needed = FromSeconds(r.learnt->latency / 2);
+// Whether the fleet can serve the request in time. A request with almost no time left is refused at once
+// (rule 1: no wait for the counter). Near the limit the least valuable requests are refused first.
+bool Gateway::Impl::FitsCapacity(const Request& r) {
+  const Duration needed = FromSeconds(r.stats->latency / 2);
   if (r.deadline - now_ < std::max(2 * leases_.options().wait, needed)) return false;
-  if (own_.room == 0) own_.room = Room(kRoomFirst);
-  const double density = Density(r);
-  Smooth(own_.mean_density, density, kMeanStep);
-  const double rank = own_.mean_density > 0 ? std::min(1.0, density / (kWorthMost * own_.mean_density)) : 1;
-  const double open = std::max(std::min(1.0, own_.room), own_.room * (kShedFrom + (1 - kShedFrom) * rank));
-  return out_now_ < open && Random() < open;  // a room below one attempt is used by chance
+  if (load_.work_limit == 0) load_.work_limit = ConcurrencyShare(kLimitFirst);
+  const double density = ValueDensity(r);
+  Smooth(load_.mean_density, density, kMeanStep);
+  const double rank =
+      load_.mean_density > 0 ? std::min(1.0, density / (kFullDensity * load_.mean_density)) : 1;
+  const double open =
+      std::max(std::min(1.0, load_.work_limit), load_.work_limit * (kShedFrom + (1 - kShedFrom) * rank));
+  return pending_work_ < open && Random() < open;  // a limit below one attempt admits at random
 }
 
-Duration Gateway::Impl::ComeBack(const Request& r) {
-  return FromSeconds(std::max(kLeastService, r.learnt->latency) * (1 + kComeBackSpread * Random()));
+Duration Gateway::Impl::RetryAdvice(const Request& r) {
+  return FromSeconds(std::max(kMinService, r.stats->latency) * (1 + kAdviceSpread * Random()));
 }
 
 // ---- Event dispatch -----------------------------------------------------------------------------------
 
 void Gateway::Impl::On(const RequestArrived& event) {
-  const auto kind = std::find_if(settings_->classes.begin(), settings_->classes.end(),
-                                 [&](const RequestClass& k) { return k.name == event.request_class; });
+  const auto found = std::find_if(settings_->classes.begin(), settings_->classes.end(),
+                                  [&](const RequestClass& k) { return k.name == event.request_class; });
   Customer* c = FindCustomer(event);
-  // Neither quota nor repeat rules are known. Nothing of it was ever sent, so rule 2 allows the refusal.
-  if (kind == settings_->classes.end() || c == nullptr) {
-    Act(Refuse{event.id});
+  // Unknown class or plan. Nothing was sent, so rule 2 allows a refusal.
+  if (found == settings_->classes.end() || c == nullptr) {
+    Emit(RefuseRequest{event.id});
     return;
   }
   c->set_size = std::max(c->set_size, std::min(event.set_size, settings_->gateways));
   Request& r = requests_[event.id];
   r.id = event.id;
   r.customer = c;
-  r.under = settings_;
-  r.kind = &*kind;
-  r.learnt = learnt_.at(kind->name);
+  r.settings = settings_;
+  r.traits = &*found;
+  r.stats = stats_.at(found->name);
   r.units = event.units;
-  r.worth = kind->worth;
+  r.worth = found->worth;
   r.arrived = now_;
   r.deadline = now_ + event.time_left;
-  Smooth(own_.mean_units, r.units, kMeanStep);
-  own_.retry_budget = std::min(kRetryMost, own_.retry_budget + kRetryEarned);
-  if (!Fits(r)) {
-    Conclude(r, true, ComeBack(r));
-  } else if (UnderOpenCap(r)) {
-    leases_.Ask(now_, r);
+  Smooth(load_.mean_units, r.units, kMeanStep);
+  load_.retry_budget = std::min(kRetryMax, load_.retry_budget + kRetryEarned);
+  if (!FitsCapacity(r)) {
+    Finish(r, true, RetryAdvice(r));
+  } else if (WithinConcurrencyLimit(r)) {
+    leases_.Acquire(now_, r);
   }
-  Forget(event.id);
+  EraseIfDone(event.id);
 }
 
-void Gateway::Impl::On(const RequestGone& event) {
+void Gateway::Impl::On(const RequestAbandoned& event) {
   const auto it = requests_.find(event.id);
   if (it == requests_.end() || it->second.closed) return;
   it->second.closed = true;
-  leases_.OnGone(it->second);
-  CancelOut(it->second);
-  Forget(event.id);
+  leases_.Cancel(it->second);
+  CancelPending(it->second);
+  EraseIfDone(event.id);
 }
 
 void Gateway::Impl::On(const TimerFired& event) {
-  if (event.token.value == 0) return Act(Watch{true});
+  if (event.token.value == 0) return Emit(WatchHosts{true});
   leases_.OnTimer(now_, event.token);
 }
 
 void Gateway::Impl::Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
   now_ = now;
-  out_ = &actions;
+  actions_ = &actions;
   if (!started_) {
     started_ = true;
-    own_.warm_since = now;
-    own_.retry_budget = kRetryMost;
-    Adopt(settings_);
-    if (settings_->discovery == Discovery::kAsk) Act(Watch{true});
+    load_.warm_since = now;
+    load_.retry_budget = kRetryMax;
+    ApplySettings(settings_);
+    if (settings_->discovery == DiscoveryMode::kSubscribe) Emit(WatchHosts{true});
   }
-  SweepDue();
+  MarkOverdue();
   std::visit([this](const auto& e) { On(e); }, event);
 }
 
 // ---- Upgrades -----------------------------------------------------------------------------------------
 
-GatewayMemory Gateway::Impl::HandOn() {
-  GatewayMemory memory{{leases_.memory(), own_}, leases_.HandOn(), {}, {}};
-  for (const auto& [id, h] : hosts_) memory.hosts.push_back({id, h.entry.started, h});
-  for (const auto& [name, learnt] : learnt_) memory.classes.push_back({name, *learnt});
-  return memory;
+GatewaySnapshot Gateway::Impl::ExportState() {
+  GatewaySnapshot state{{leases_.state(), load_}, leases_.ExportState(), {}, {}};
+  for (const auto& [id, h] : hosts_) state.hosts.push_back({id, h.entry.started, h});
+  for (const auto& [name, stats] : stats_) state.classes.push_back({name, *stats});
+  return state;
 }
 
-void Gateway::Impl::TakeOver(const GatewayMemory& memory) {
-  own_ = memory.own;
-  leases_.TakeOver(memory.own, memory.customers, [this](const std::string& name) { return FindPlan(name); });
-  for (const auto& [id, started, host] : memory.hosts)
+void Gateway::Impl::ImportState(const GatewaySnapshot& state) {
+  load_ = state.local;
+  leases_.ImportState(state.local, state.customers,
+                      [this](const std::string& name) { return FindPlan(name); });
+  for (const auto& [id, started, host] : state.hosts)
     if (const auto it = hosts_.find(id); it != hosts_.end() && it->second.entry.started == started)
-      static_cast<HostMemory&>(it->second) = host;
-  for (const auto& [name, learnt] : memory.classes)
-    if (const auto it = learnt_.find(name); it != learnt_.end())
-      static_cast<ClassMemory&>(*it->second) = learnt;
+      static_cast<HostStats&>(it->second) = host;
+  for (const auto& [name, stats] : state.classes)
+    if (const auto it = stats_.find(name); it != stats_.end()) static_cast<ClassStats&>(*it->second) = stats;
 }
 
-void Gateway::Impl::ServeAgain(TimePoint now) {
+void Gateway::Impl::ResumeServing(TimePoint now) {
   now_ = std::max(now_, now);
-  leases_.ServeAgain(now_);
+  leases_.ResumeServing(now_);
 }
 
 Gateway::Gateway(Settings settings, std::uint64_t seed)
@@ -613,10 +614,10 @@
   impl_->Handle(now, event, actions);
 }
 
-std::size_t Gateway::resting(TimePoint now) const { return impl_->Resting(now); }
+std::size_t Gateway::ejected_hosts(TimePoint now) const { return impl_->EjectedHosts(now); }
 
-GatewayMemory Gateway::HandOn() { return impl_->HandOn(); }
-void Gateway::TakeOver(const GatewayMemory& memory) { impl_->TakeOver(memory); }
-void Gateway::ServeAgain(TimePoint now) { impl_->ServeAgain(now); }
+GatewaySnapshot Gateway::ExportState() { return impl_->ExportState(); }
+void Gateway::ImportState(const GatewaySnapshot& state) { impl_->ImportState(state); }
+void Gateway::ResumeServing(TimePoint now) { impl_->ResumeServing(now); }
 
 }  // namespace curlewdoor
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -1,6 +1,6 @@
-// The interface of the decision module: what a gateway is told (settings, events), what it may do
-// (actions), and the one class that decides. No I/O, no clock, no threads: the same events give the same
-// actions. All decisions are in logic.cpp and logic/leases.cpp.
+// Interface of the decision module: its inputs (settings and events), its outputs (actions) and the class
+// that maps one to the other. The module has no I/O, clock or threads, so the same events give the same
+// actions. The decisions are implemented in logic.cpp and logic/leases.cpp.
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// The clock of the events; the caller tells the time with each of them.
+// The clock of event timestamps. The caller passes the current time with each event.
 struct GatewayClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -33,7 +33,7 @@
 };
 using RequestId = Id<struct RequestTag>;
 using HostId = Id<struct HostTag>;
-using CountName = Id<struct CountTag>;  // a count on the counter service
+using CounterName = Id<struct CountTag>;  // names one counter on the counter service
 using TimerToken = Id<struct TimerTag>;
 
 struct IdHash {
@@ -45,43 +45,43 @@
 
 // ---- Settings -----------------------------------------------------------------------------------------
 
-enum class Repeat { kSafe, kKeyed, kUnsafe };   // may a request of this class run twice?
-enum class RepeatGroup { kAll, kZone, kCell };  // keyed: the hosts that drop repeats among themselves
-enum class Discovery { kPush, kAsk };
-enum class Reports { kNone, kInAnswers, kByProbe };  // where hosts tell their load
-enum class SizeHint { kNone, kNominal, kRough, kLive };
+enum class RepeatSafety { kSafe, kKeyed, kUnsafe };  // whether a request of the class may run twice
+enum class DedupScope { kAll, kZone, kCell };        // kKeyed: hosts that deduplicate retries together
+enum class DiscoveryMode { kPush, kSubscribe };
+enum class LoadReportMode { kNone, kInResponses, kOnProbe };  // how hosts report their load
+enum class CapacityHint { kNone, kNominal, kRough, kLive };
 
 struct RequestClass {
   std::string name;
-  Duration aim{};
+  Duration latency_target{};
   Duration deadline{};
-  Duration repeat_window{};
-  double aim_stretch = 0;
+  Duration dedup_window{};
+  double latency_target_stretch = 0;
   double worth = 1;
   double late_worth = 0;
-  Repeat repeat = Repeat::kUnsafe;
-  RepeatGroup group = RepeatGroup::kAll;
+  RepeatSafety repeat = RepeatSafety::kUnsafe;
+  DedupScope dedup_scope = DedupScope::kAll;
   bool stream = false;
 };
 
 struct Plan {
   std::string name;
-  double rate = 0;  // units a second; 0: no such quota
+  double rate = 0;  // units per second; 0: no rate quota
   double burst = 0;
-  double ceiling_rate = 0;  // units a second; 0: no ceiling
+  double ceiling_rate = 0;  // units per second; 0: no ceiling
   double ceiling_burst = 0;
   double ceiling_slack = 0;
-  int open_cap = 0;  // attempts out at once; 0: no such quota
+  int max_concurrent = 0;  // concurrent attempts; 0: no limit
   double price = 1;
-  double beyond_worth = 0;
-  double beyond_cost = 0;
-  Duration window{};   // of its count; zero: burst / rate
-  bool tight = false;  // no burst covers shares that add up to more than one
+  double excess_worth = 0;
+  double excess_cost = 0;
+  Duration window{};               // of its counter; zero: burst / rate
+  bool no_burst_headroom = false;  // no burst absorbs shares that sum to more than one
   bool operator==(const Plan&) const = default;
 };
 
 struct Settings {
-  int me = 0;
+  int own_index = 0;
   int gateways = 1;
   std::string zone;
   std::vector<std::string> zones;
@@ -92,28 +92,28 @@
   Duration tick{};
   std::vector<RequestClass> classes;
   std::vector<Plan> plans;
-  Discovery discovery = Discovery::kPush;
-  SizeHint size_hint = SizeHint::kNone;
+  DiscoveryMode discovery = DiscoveryMode::kPush;
+  CapacityHint capacity_hint = CapacityHint::kNone;
   struct {
     bool marks_retry = false;
   } clients;
   struct {
-    Reports how = Reports::kNone;
+    LoadReportMode mode = LoadReportMode::kNone;
     std::vector<std::string> fields;
-  } reports;
+  } load_reports;
   struct {
     bool available = false;
     Duration timeout{};
     double price = 0;
   } counter;
   struct {
-    Duration presence_slot{};  // how often gateways count one another on the counter; zero: never
+    Duration presence_slot{};  // interval of the gateway presence count; zero: off
   } counting;
   struct {
     Duration meter_period{};
     double largest_request = 1;
     double peer_messages_per_s = 0;
-    bool settles = false;  // units are a guess, settled with the first good answer
+    bool settles = false;  // units are estimates, corrected by the first good response
   } quota;
   struct {
     double whole = 1, worst_class = 0, worst_tenant = 0, worst_window = 0;
@@ -135,20 +135,20 @@
   } limits;
   struct {
     Duration answer_slack{};
-    Duration ask_within{};
+    Duration subscribe_within{};
     Duration drain_grace{};
     Duration cold_time{};
-    Duration fall_time{};
+    Duration overload_time{};
     double cold_from = 1;
-    double fall_multiple = 1;
+    double overload_factor = 1;
   } rules;
 };
 
 // ---- Events -------------------------------------------------------------------------------------------
 
-enum class HostState { kReady, kDraining, kGone };
-enum class ListKind { kDelta, kFull, kCached, kFailed };
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot };
+enum class HostState { kReady, kDraining, kRemoved };
+enum class HostListKind { kDelta, kFull, kCached, kFailed };
+enum class Outcome { kOk, kError, kQueueFull, kTimeout, kConnectFailed, kReset, kCancelled, kDiscarded };
 
 struct LoadValue {
   std::string name;
@@ -162,12 +162,12 @@
   std::string kind;
   std::int64_t cell = 0;
   HostState state = HostState::kReady;
-  double size_hint = 1;
-  TimePoint started{};  // zero: long past
+  double capacity_hint = 1;
+  TimePoint started{};  // zero: long ago
 };
 
 struct HostList {
-  ListKind kind = ListKind::kFull;
+  HostListKind kind = HostListKind::kFull;
   std::uint64_t version = 0;
   std::vector<HostEntry> entries;
 };
@@ -178,14 +178,14 @@
   std::string plan;
   std::string request_class;
   double units = 1;
-  int set_size = 1;   // the gateways this customer's requests may come through
-  int set_first = 0;  // the first of them; the others follow in sequence
+  int set_size = 1;   // gateways that may receive this customer's requests
+  int set_first = 0;  // index of the first; the others follow in sequence
   bool is_retry = false;
   bool is_write = false;
   Duration time_left{};
 };
 
-struct AttemptStarted {  // streamed classes: the answer has begun
+struct AttemptStarted {  // streamed classes: the response has started
   RequestId id;
   int attempt = 0;
   HostId host;
@@ -199,12 +199,12 @@
   Outcome outcome = Outcome::kOk;
   bool closed = false;
   Duration latency{};
-  double true_units = 0;  // 0: not told
-  double meter_use = 0;   // 0: not told; else 1 + percent of the rate
+  double actual_units = 0;   // 0: not reported
+  double meter_reading = 0;  // 0: not reported; else 1 + percent of the rate
   LoadReport load;
 };
 
-struct RequestGone {
+struct RequestAbandoned {
   RequestId id;
 };
 
@@ -224,34 +224,35 @@
   std::string data;
 };
 
-struct CountAnswered {
-  CountName name;
-  Outcome outcome = Outcome::kOk;  // kError: added, and the total can't be read
+struct CounterReply {
+  CounterName name;
+  Outcome outcome = Outcome::kOk;  // kError: added, but the total is unreadable
   double total = 0;
   Duration latency{};
 };
 
-// The part of the usual gateways that this one shares its counter with. Below 1 the counter is split, unseen
-// for so long until now, and what the others let in is not in the totals.
-struct CounterShared {
-  double part = 1;
-  Duration unseen_for{};
+// The fraction of the usual gateways that share this gateway's counter. Below 1 the counter is partitioned:
+// its totals miss what the other gateways admit, and have done so for up to `undetected_for`.
+struct CounterPartition {
+  double visible_fraction = 1;
+  Duration undetected_for{};
 };
 
-// New settings. What is open keeps those that it came under.
+// New settings. Open requests keep the settings that they arrived under.
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
 };
 
-using Event = std::variant<SettingsChanged, HostList, RequestArrived, AttemptStarted, AttemptEnded,
-                           RequestGone, TimerFired, ProbeEnded, PeerMessage, CountAnswered, CounterShared>;
+using Event =
+    std::variant<SettingsChanged, HostList, RequestArrived, AttemptStarted, AttemptEnded, RequestAbandoned,
+                 TimerFired, ProbeEnded, PeerMessage, CounterReply, CounterPartition>;
 
 // ---- Actions ------------------------------------------------------------------------------------------
 
 struct SendAttempt {
   RequestId id;
   HostId host;
-  TimePoint expires{};  // zero: when the client gives up
+  TimePoint expires{};  // zero: the client's deadline
 };
 
 struct CancelAttempt {
@@ -259,12 +260,12 @@
   int attempt = 0;
 };
 
-struct Refuse {
+struct RefuseRequest {
   RequestId id;
-  Duration retry_after{};  // zero: no advice
+  Duration retry_after{};  // zero: no Retry-After advice
 };
 
-struct Fail {
+struct FailRequest {
   RequestId id;
 };
 
@@ -281,111 +282,113 @@
   HostId host;
 };
 
-struct TellPeer {
+struct SendToPeer {
   int peer = -1;  // -1: all
   std::string data;
 };
 
-struct Watch {
+struct WatchHosts {
   bool on = true;
 };
 
-struct FetchList {};
+struct FetchHostList {};
 
-struct AddCount {
-  CountName name;
+struct AddToCounter {
+  CounterName name;
   Duration lifetime{};
   double amount = 0;
 };
 
-struct Log {
+struct WriteLogLine {
   std::string text;
 };
 
-using Action = std::variant<SendAttempt, CancelAttempt, Refuse, Fail, SetTimer, SendProbe, CloseIdle,
-                            TellPeer, Watch, FetchList, AddCount, Log>;
+using Action = std::variant<SendAttempt, CancelAttempt, RefuseRequest, FailRequest, SetTimer, SendProbe,
+                            CloseIdle, SendToPeer, WatchHosts, FetchHostList, AddToCounter, WriteLogLine>;
 
-// ---- What is learnt -----------------------------------------------------------------------------------
-// Plain values: what the module knows beyond the requests that are open, and what an upgrade hands on.
+// ---- Learned state ------------------------------------------------------------------------------------
+// Plain values that outlive single requests; an upgrade passes them to the new process.
 
-struct CustomerMemory {
+struct CustomerState {
   std::string name;
-  std::string plan_name;  // in what is handed on
+  std::string plan_name;  // set in exported state
   int set_size = 1;
-  bool in_set = true;  // whether this gateway belongs to the customer's set
+  bool in_set = true;  // whether this gateway is in the customer's set
   std::int64_t window = -1;
-  double part = 1;   // of the quota that is given out where this counter is seen; below 1 while it is split
-  double held = 0;   // units added to the count and not spent
-  double level = 0;  // units left in the quota at level_at, as far as is known; below 0: added beyond
+  double visible_fraction =
+      1;              // of the quota, given out on this side of the counter; below 1 while partitioned
+  double leased = 0;  // units added to the counter and not yet spent
+  double level = 0;   // estimated units left in the quota at level_at; below 0: overdrawn
   TimePoint level_at;
-  double total = 0;      // the largest count known
-  double own_added = 0;  // of it by this gateway
-  double owed = 0;       // admitted here without an add, to be added with the next call
-  double guessed = 0;    // booked by share as the siblings' use, not yet seen in the count
-  double lease = 0;
-  std::int64_t leased_window = -1;  // when the last lease was asked for
-  TimePoint leased_at;
-  double own_use = 0, all_use = 0;  // smoothed, by this gateway and by all: the quotient is the share
-  TimePoint use_at;
-  double ceiling = 0;  // this gateway's part of it, as of ceiling_at
-  double covered = 0;  // of what is held: so little was in the count that the ceiling allows it
+  double total = 0;        // the largest total known
+  double local_added = 0;  // this gateway's part of the total
+  double unposted = 0;     // admitted here without an add; added with the next call
+  double assumed_use = 0;  // charged by share as the siblings' use, not yet in the total
+  double lease_size = 0;
+  std::int64_t lease_window = -1;  // window and time of the last lease request
+  TimePoint lease_at;
+  double local_use = 0, total_use = 0;  // smoothed; local / total is this gateway's share
+  TimePoint usage_at;
+  double ceiling = 0;  // tokens in this gateway's part of the ceiling at ceiling_at
+  double exempt = 0;   // leased units added while the total was far enough below the ceiling
   TimePoint ceiling_at, seen_at;
-  TimePoint plan_at{};  // when the plan changed last
+  TimePoint plan_changed_at{};  // when the plan changed last
 };
 
-struct HostMemory {
-  double slowness = 1;  // service time relative to the other hosts'
+struct HostStats {
+  double slowness = 1;  // service time relative to the other hosts
   TimePoint slowness_at{};
-  int trouble = 0;       // failed or hanging attempts since the last answer
-  double fail_rate = 0;  // smoothed
-  TimePoint trouble_at{}, heard_at{};
+  int failures = 0;         // failed or late attempts since the last response
+  double failure_rate = 0;  // smoothed
+  TimePoint failure_at{}, success_at{};
   double cold_budget = 0;
   TimePoint cold_at{};
 };
 
-struct ClassMemory {
-  double latency = 0, units = 0;  // smoothed, of good answers
+struct ClassStats {
+  double latency = 0, units = 0;  // smoothed, of successful responses
 };
 
-struct CountingMemory {
-  TimePoint forgot_at;  // when a customer was last forgotten: at an eviction, or at the start
-  double part = 1;      // of the usual gateways: those that see the same counter
-  Duration unseen_for{};
-  bool silent = false;
-  int call_failures = 0;
-  TimePoint next_test;
-  double call_rate = 0, calls_left = 0;  // calls a second, and those saved up
-  TimePoint calls_at;
-  double mean_stake = 0, admitted = 1, counted = 1;  // smoothed: worth at stake, units let in, and counted
+struct QuotaState {
+  TimePoint last_eviction_at;   // last eviction from a full table, or the start
+  double visible_fraction = 1;  // of the usual gateways that see the same counter
+  Duration undetected_for{};
+  bool counter_down = false;
+  int failed_calls = 0;
+  TimePoint next_probe_at;
+  double call_rate = 0, call_tokens = 0;  // calls per second, and tokens saved up
+  TimePoint call_tokens_at;
+  double mean_stake = 0, mean_admitted = 1,
+         mean_counted = 1;  // smoothed: value at stake, units admitted and counted
 };
 
-struct ServingMemory {
+struct LoadState {
   double mean_units = 0;  // smoothed, of all requests
-  double room = 0;        // work that may be out, by what came back in time; 0: not known yet
+  double work_limit = 0;  // outstanding work allowed, adapted to latency; 0: not known yet
   double mean_density = 0;
   double retry_budget = 0;
-  double unheard_fails = 0;  // smoothed: how often hosts not heard from lately fail
-  double warm_rate = 0;      // good answers a second from one warm host to this gateway
-  int warm_answers = 0;
+  double stale_failures = 0;  // smoothed, of hosts without a recent success
+  double warm_rate = 0;       // successes per second of one warm host, here
+  int warm_successes = 0;
   TimePoint warm_since;
 };
 
-struct OwnMemory : CountingMemory, ServingMemory {};
+struct LocalState : QuotaState, LoadState {};
 
-struct GatewayMemory {
-  struct OfHost {
+struct GatewaySnapshot {
+  struct HostRecord {
     HostId host;
     TimePoint started;
-    HostMemory memory;
+    HostStats memory;
   };
-  struct OfClass {
+  struct ClassRecord {
     std::string name;
-    ClassMemory memory;
+    ClassStats memory;
   };
-  OwnMemory own;
-  std::vector<CustomerMemory> customers;  // the one seen last first
-  std::vector<OfHost> hosts;
-  std::vector<OfClass> classes;
+  LocalState local;
+  std::vector<CustomerState> customers;  // most recently seen first
+  std::vector<HostRecord> hosts;
+  std::vector<ClassRecord> classes;
 };
 
 // ---- The gateway --------------------------------------------------------------------------------------
@@ -397,17 +400,17 @@
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  // Decides on one event at time `now`, appending to `actions`. Times never go back.
+  // Handles one event at time `now` and appends to `actions`. `now` never decreases.
   void handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
-  // Hosts that are listed and left alone for now.
-  std::size_t resting(TimePoint now) const;
+  // Number of listed hosts that are currently ejected.
+  std::size_t ejected_hosts(TimePoint now) const;
 
-  // An upgrade. What is handed on is the other process's from then on: here no ceiling's part and no lease is
-  // left, only what is open is seen to its end. A gateway that is to serve again after all begins anew.
-  GatewayMemory HandOn();
-  void TakeOver(const GatewayMemory& memory);
-  void ServeAgain(TimePoint now);
+  // Upgrades. ExportState gives all leases and ceiling tokens to the new process; this one then only finishes
+  // its open requests. ResumeServing, after a failed upgrade, starts with empty ceiling tokens.
+  GatewaySnapshot ExportState();
+  void ImportState(const GatewaySnapshot& memory);
+  void ResumeServing(TimePoint now);
 
  private:
   class Impl;
--- a/src/logic/gateway.hpp
+++ b/src/logic/gateway.hpp
@@ -1,4 +1,4 @@
-// The declaration of what logic.cpp defines: state and functions. No decisions stand here.
+// Declares the gateway's state and the functions that logic.cpp defines. Contains no decisions.
 #pragma once
 
 #include <algorithm>
@@ -17,98 +17,98 @@
 
 namespace curlewdoor {
 
-using namespace records;  // the module's own
+using namespace records;  // internal to the module
 
 class Gateway::Impl : public Leases::Port {
  public:
   Impl(Settings settings, std::uint64_t seed)
       : settings_(std::make_shared<Settings>(std::move(settings))), rng_(seed), leases_(*this, rng_) {}
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions);
-  std::size_t Resting(TimePoint now) {
+  std::size_t EjectedHosts(TimePoint now) {
     now_ = std::max(now_, now);
-    return CountResting(LongestRest());
+    return CountEjected(MaxEjection());
   }
-  GatewayMemory HandOn();
-  void TakeOver(const GatewayMemory& memory);
-  void ServeAgain(TimePoint now);
+  GatewaySnapshot ExportState();
+  void ImportState(const GatewaySnapshot& memory);
+  void ResumeServing(TimePoint now);
 
  private:
   std::shared_ptr<const Plan> FindPlan(const std::string& name) const;
-  void Adopt(std::shared_ptr<const Settings> settings);
-  void On(const SettingsChanged& event) { Adopt(event.settings); }
+  void ApplySettings(std::shared_ptr<const Settings> settings);
+  void On(const SettingsChanged& event) { ApplySettings(event.settings); }
   Customer* FindCustomer(const RequestArrived& event);
-  // What the leases decided, and what they need.
+  // Callbacks of Leases.
   void Admit(Claim& claim) override;
   void Deny(Claim& claim, Duration retry_after) override;
-  void Add(const std::string&, const AddCount& call) override { Act(call); }
-  void Start(const SetTimer& timer) override { Act(timer); }
-  void Note(const Log& line) override { Act(line); }
-  bool UnderOpenCap(Request& r);
+  void Add(const std::string&, const AddToCounter& call) override { Emit(call); }
+  void StartTimer(const SetTimer& timer) override { Emit(timer); }
+  void WriteLog(const WriteLogLine& line) override { Emit(line); }
+  bool WithinConcurrencyLimit(Request& r);
   // Hosts.
   void On(const HostList& event);
-  void PickNear();
+  void SelectSubset();
   bool IsCold(const Host& h) const;
-  double ColdPart(const Host& h) const;  // of its full capacity, at the least
-  double RefillCold(Host& h);
-  bool Resting(const Host& h, Duration longest) const;
-  std::size_t CountResting(Duration longest) const;
-  Duration LongestRest() const;
-  double Size(const Host& h) const;
-  double Delay(const Host& h) const;
-  bool MayRepeatAt(const Request& r, const Host& h) const;  // rule 2
-  Host* Choose(const Request& r);
-  void NoteTrouble(Host& h);
-  void NoteSlowness(Host& h, double slowness);
-  void NoteLate(Host& h);  // an attempt has used up its part of the aim, answered or not
-  void SweepDue();         // attempts that hang count as late when they become it, not when they end
-  void NoteOutcome(Host& h, const Request& r, const Attempt& attempt, const AttemptEnded& event);
-  void NoteWarmRate(const Host& h);  // for judging what a cold one may get
+  double ColdCapacity(const Host& h) const;  // lower bound of its fraction of full capacity
+  double RefillColdBudget(Host& h);
+  bool IsEjected(const Host& h, Duration longest) const;
+  std::size_t CountEjected(Duration longest) const;
+  Duration MaxEjection() const;
+  double Capacity(const Host& h) const;
+  double ExpectedDelay(const Host& h) const;
+  bool MayRetryOn(const Request& r, const Host& h) const;  // rule 2
+  Host* ChooseHost(const Request& r);
+  void RecordFailure(Host& h);
+  void RecordSlowness(Host& h, double slowness);
+  void RecordLate(Host& h);  // an attempt exceeded its late threshold, finished or not
+  void MarkOverdue();        // records hanging attempts as late when due, not at their end
+  void RecordOutcome(Host& h, const Request& r, const Attempt& attempt, const AttemptEnded& event);
+  void UpdateWarmRate(const Host& h);  // reference for what a cold host may receive
   int Gateways() const { return std::max(1, settings_->gateways); }
-  double EvenPart(double each) const;
-  double Room(double per_host) const;
-  void MoveRoom(double step, double least);
-  double Expected(const Request& r) const;     // seconds, by class and units; 0: nothing is known
-  Duration LateAfter(const Request& r) const;  // part of the aim, and what its own size takes more
-  bool Issue(Request& r, Host& h);
-  TimePoint GiveUpAt(const Request& r) const;
+  double EvenShare(double each) const;
+  double ConcurrencyShare(double per_host) const;
+  void AdjustLimit(double step, double least);
+  double ExpectedTime(const Request& r) const;     // seconds, by class and units; 0: unknown
+  Duration LateThreshold(const Request& r) const;  // part of the target, plus time for a large request
+  bool Send(Request& r, Host& h);
+  TimePoint AttemptExpiry(const Request& r) const;
   void Dispatch(Request& r);
-  bool MayRefuse(const Request& r) const;  // rule 2: it says that asking again is harmless
-  void Conclude(Request& r, bool refuse, Duration retry_after);  // the one place of our final answers
+  bool MayRefuse(const Request& r) const;  // rule 2: a refusal implies that a retry is safe
+  void Finish(Request& r, bool refuse, Duration retry_after);  // the only place that answers
   void On(const AttemptEnded& event);
   void On(const AttemptStarted& event);
-  bool TryAgain(Request& r);
-  void CancelOut(Request& r);
-  void Forget(RequestId id);
-  double Density(const Request& r);  // worth per second of host time
-  bool Fits(const Request& r);
-  Duration ComeBack(const Request& r);  // spread, so that what is refused does not return together
+  bool Retry(Request& r);
+  void CancelPending(Request& r);
+  void EraseIfDone(RequestId id);
+  double ValueDensity(const Request& r);  // worth per second of host time
+  bool FitsCapacity(const Request& r);
+  Duration RetryAdvice(const Request& r);  // spread, so that refused clients do not return together
   void On(const RequestArrived& event);
-  void On(const RequestGone& event);
+  void On(const RequestAbandoned& event);
   void On(const TimerFired& event);
-  void On(const CountAnswered& event) { leases_.OnCount(now_, event); }
-  void On(const CounterShared& event) { leases_.OnShared(now_, event); }
-  void On(const ProbeEnded&) {}  // it probes nobody and has no peers to talk to
+  void On(const CounterReply& event) { leases_.OnCounterReply(now_, event); }
+  void On(const CounterPartition& event) { leases_.OnCounterPartition(now_, event); }
+  void On(const ProbeEnded&) {}  // unused: the gateway sends no probes or peer messages
   void On(const PeerMessage&) {}
   template <typename A>
-  void Act(A action) {
-    out_->push_back(std::move(action));
+  void Emit(A action) {
+    actions_->push_back(std::move(action));
   }
   double Random() { return Fraction(rng_()); }
 
   std::shared_ptr<const Settings> settings_;
-  ServingMemory own_;
+  LoadState load_;
   std::mt19937_64 rng_;
   Leases leases_;
   TimePoint now_;
   bool started_ = false;
-  std::vector<Action>* out_ = nullptr;
+  std::vector<Action>* actions_ = nullptr;
   std::unordered_map<RequestId, Request, IdHash> requests_;
   std::map<HostId, Host> hosts_;
-  std::vector<Host*> ready_;  // in order of id
-  std::vector<Host*> near_;   // of these, the ones that this gateway keeps to
-  double sizes_ = 0;          // of these together
-  std::map<std::string, std::shared_ptr<ClassState>> learnt_;  // by class
-  double out_now_ = 0;                                         // work out from here, in usual requests
+  std::vector<Host*> ready_;                                  // in order of id
+  std::vector<Host*> subset_;                                 // the part of ready_ that this gateway prefers
+  double total_capacity_ = 0;                                 // of ready_ in total
+  std::map<std::string, std::shared_ptr<ClassState>> stats_;  // by class
+  double pending_work_ = 0;                                   // in mean requests
 };
 
 }  // namespace curlewdoor
--- a/src/logic_records.hpp
+++ b/src/logic_records.hpp
@@ -1,5 +1,5 @@
-// The module's records of what is under way: plain values that only logic.cpp reads and writes. What it has
-// learnt beyond that stands in logic.hpp, since an upgrade hands it on.
+// Records of requests, attempts and hosts in progress: plain values that only logic.cpp reads and writes.
+// Learned state is declared in logic.hpp, since an upgrade exports it.
 #pragma once
 
 #include <deque>
@@ -17,38 +17,38 @@
 struct Attempt {
   HostId host;
   TimePoint sent;
-  double weight = 1;  // its work, in usual requests
-  bool out = true;
-  bool late = false;         // it was noted that it is late
-  bool started = false;      // its stream has begun: no time-out, no calling off
+  double weight = 1;  // its work, in mean requests
+  bool pending = true;
+  bool late = false;         // already recorded as late
+  bool started = false;      // its stream has started: no timeout, no cancelling
   bool may_have_run = true;  // until an outcome proves otherwise
 };
 
-struct Due {
+struct LateDeadline {
   RequestId id;
   std::size_t attempt;
   TimePoint at;
 };
 
-struct ClassState : ClassMemory {
-  std::deque<Due> due;     // attempts out, by when they become late
-  std::deque<HostId> met;  // hosts that answered it in time, the latest first
+struct ClassState : ClassStats {
+  std::deque<LateDeadline> deadlines;  // outstanding attempts in order of when they become late
+  std::deque<HostId> recent_hosts;     // hosts that responded in time, the latest first
 };
 
 struct Request : Claim {
-  std::shared_ptr<const Settings> under;  // from its arrival to its end, whatever changes meanwhile
-  const RequestClass* kind = nullptr;     // of these
-  std::shared_ptr<ClassState> learnt;
+  std::shared_ptr<const Settings> settings;  // in force at its arrival, kept to its end
+  const RequestClass* traits = nullptr;      // from `settings`
+  std::shared_ptr<ClassState> stats;
   TimePoint deadline;
   bool closed = false;
   std::vector<Attempt> attempts;
 };
 
-struct Host : HostMemory {
+struct Host : HostStats {
   HostEntry entry{};
   bool listed = false;
-  int out = 0;      // attempts out from here ...
-  double load = 0;  // ... and their work, in usual requests
+  int pending = 0;  // outstanding attempts of this gateway ...
+  double load = 0;  // ... and their work, in mean requests
 };
 
 }  // namespace curlewdoor::records
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -28,7 +28,7 @@
   const auto config = Load(path);
   if (!config) return kFailed;
   fmt::print("{}: {} classes, {} plans, gateway {} of {}, {} hosts known\n", config->name,
-             config->settings.classes.size(), config->settings.plans.size(), config->settings.me,
+             config->settings.classes.size(), config->settings.plans.size(), config->settings.own_index,
              config->settings.gateways, config->known ? config->known->members.size() : 0);
   return kOk;
 }
--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -58,7 +58,7 @@
 };
 
 constexpr std::array<std::pair<std::string_view, HostState>, 3> kStates{
-    {{"active", HostState::kReady}, {"leaving", HostState::kDraining}, {"left", HostState::kGone}}};
+    {{"active", HostState::kReady}, {"leaving", HostState::kDraining}, {"left", HostState::kRemoved}}};
 
 Member ReadMember(const json& object, const std::string& path, std::string& error) {
   Keys keys(object, path, error);
@@ -68,7 +68,7 @@
   entry.zone = keys.Text("az", false);
   entry.kind = keys.Text("model", false);
   entry.cell = keys.Value<std::int64_t>("pod_group", 0);
-  entry.size_hint = keys.Value<double>("capacity_hint", 1);
+  entry.capacity_hint = keys.Value<double>("capacity_hint", 1);
   constexpr std::int64_t kMostMs = std::int64_t{1} << 42;
   const auto boot_ms = std::clamp<std::int64_t>(keys.Value<std::int64_t>("boot_ms", 0), 0, kMostMs);
   entry.started = TimePoint(std::chrono::milliseconds(boot_ms));
@@ -79,8 +79,8 @@
   } else {
     entry.state = known->second;
   }
-  const auto address = ParseAddress(keys.Text("endpoint", entry.state != HostState::kGone));
-  if (!address && entry.state != HostState::kGone) keys.Fail("endpoint", "is not an address with a port");
+  const auto address = ParseAddress(keys.Text("endpoint", entry.state != HostState::kRemoved));
+  if (!address && entry.state != HostState::kRemoved) keys.Fail("endpoint", "is not an address with a port");
   member.address = address.value_or(Address{});
   return member;
 }
--- a/src/net/platform_dialect.cpp
+++ b/src/net/platform_dialect.cpp
@@ -22,8 +22,8 @@
 }
 
 LoadReport PlatformDialect::Load(const http::Message& answer) const {
-  return settings_.reports.how != Reports::kNone ? ReadLoadReport(answer.Find("X-Server-Load"))
-                                                 : LoadReport{};
+  return settings_.load_reports.mode != LoadReportMode::kNone ? ReadLoadReport(answer.Find("X-Server-Load"))
+                                                              : LoadReport{};
 }
 
 std::string_view PlatformDialect::ProbeHead(bool with_load) const {
--- a/src/net/request.cpp
+++ b/src/net/request.cpp
@@ -88,7 +88,7 @@
   const auto kind = std::find_if(settings.classes.begin(), settings.classes.end(),
                                  [&](const RequestClass& k) { return k.name == request.request_class; });
   if (kind == settings.classes.end()) return Rejection{404, "unknown class of request"};
-  const auto wanted = kind->repeat == Repeat::kSafe ? HTTP_GET : HTTP_POST;
+  const auto wanted = kind->repeat == RepeatSafety::kSafe ? HTTP_GET : HTTP_POST;
   if (message.method() != wanted) return Rejection{405, "not the method of this class"};
 
   bool twice = false;
--- a/src/playing/messages.cpp
+++ b/src/playing/messages.cpp
@@ -40,7 +40,7 @@
 std::string RequestText(const rehearsal::Scenario& scenario, const standin::Customer& customer,
                         const standin::Ask& ask) {
   const standin::CrowdClass& kind = scenario.classes[static_cast<std::size_t>(ask.request_class)].asked;
-  const bool safe = kind.repeat == Repeat::kSafe;
+  const bool safe = kind.repeat == RepeatSafety::kSafe;
   const std::string body = safe ? "" : fmt::format("unlock {:016x}", ask.id);
   return fmt::format(
       "{} /{}?account={} HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: {:016x}\r\nX-Tier: {}\r\n"
--- a/src/quota/priority_throttle.cpp
+++ b/src/quota/priority_throttle.cpp
@@ -3,60 +3,66 @@
 #include <algorithm>
 #include <cmath>
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 namespace {
 
-constexpr Duration kTurn = std::chrono::seconds(30);  // what was told is known for one to two of these
-constexpr double kStep = 0.25;                        // of the chance that a step before has
-constexpr double kEased = 0.5;   // times what is held back, after a window without refusal
-constexpr double kFewAsked = 4;  // fewer say little: one refused of one is no rule
+constexpr Duration kDeadlinePeriod =
+    std::chrono::seconds(30);         // a deadline is remembered for one to two of these
+constexpr double kStepFactor = 0.25;  // of the previous rank's probability
+constexpr double kDecay = 0.5;        // factor on the throttle after a window without refusal
+constexpr double kMinAsked = 4;       // fewer requests are no evidence
 
-// An answer may come in the window after the one in which its request asked.
-double Part(double refused, double asked) { return std::min(1.0, refused / std::max(asked, kFewAsked)); }
+// Clamped, as an answer may come in the window after its request asked.
+double RefusedPart(double refused, double asked) {
+  return std::min(1.0, refused / std::max(asked, kMinAsked));
+}
 
 }  // namespace
 
-Duration Pressure::Spent(TimePoint now, const std::string& route, Duration left) {
-  Longest* known = longest_.Find(route);
-  if (known == nullptr)
-    known = longest_.Insert(route, {left, left, now}, [](const Longest&) { return true; }).first;
-  if (now >= known->since + kTurn) {
-    known->past = now >= known->since + 2 * kTurn ? left : known->present;
-    known->present = left;
-    known->since = now;
+Duration PriorityThrottle::TimeSpent(TimePoint now, const std::string& route, Duration left) {
+  LongestDeadline* entry = longest_deadlines_.Find(route);
+  if (entry == nullptr)
+    entry = longest_deadlines_.Insert(route, {left, left, now}, [](const LongestDeadline&) { return true; })
+                .first;
+  if (now >= entry->since + kDeadlinePeriod) {
+    entry->previous = now >= entry->since + 2 * kDeadlinePeriod ? left : entry->current;
+    entry->current = left;
+    entry->since = now;
   }
-  known->present = std::max(known->present, left);
-  return std::max(known->present, known->past) - left;
+  entry->current = std::max(entry->current, left);
+  return std::max(entry->current, entry->previous) - left;
 }
 
-Pressure::Tenant& Pressure::Roll(TimePoint now, const std::string& name, Duration window) {
-  const std::int64_t present = now.time_since_epoch() / std::max(window, Duration(1));
-  Tenant* known = tenants_.Find(name);
-  if (known == nullptr) known = tenants_.Insert(name, {present}, [](const Tenant&) { return true; }).first;
-  if (known->window == present) return *known;
-  const double part = Part(known->refused, known->asked);
-  known->held_back = part > 0 ? std::min(1.0, known->held_back + part) : known->held_back * kEased;
-  // Windows in which nothing was asked ease it as well; after many, nothing is left.
-  const std::int64_t idle = std::max<std::int64_t>(0, present - known->window - 1);
-  known->held_back *= std::pow(kEased, static_cast<double>(std::min<std::int64_t>(idle, 64)));
-  known->window = present;
-  known->asked = known->refused = 0;
-  return *known;
+PriorityThrottle::Tenant& PriorityThrottle::CurrentWindow(TimePoint now, const std::string& name,
+                                                          Duration window) {
+  const std::int64_t current = now.time_since_epoch() / std::max(window, Duration(1));
+  Tenant* entry = tenants_.Find(name);
+  if (entry == nullptr) entry = tenants_.Insert(name, {current}, [](const Tenant&) { return true; }).first;
+  if (entry->window == current) return *entry;
+  const double part = RefusedPart(entry->refused, entry->asked);
+  entry->throttle = part > 0 ? std::min(1.0, entry->throttle + part) : entry->throttle * kDecay;
+  // Idle windows decay the throttle as well.
+  const std::int64_t idle = std::max<std::int64_t>(0, current - entry->window - 1);
+  entry->throttle *= std::pow(kDecay, static_cast<double>(std::min<std::int64_t>(idle, 64)));
+  entry->window = current;
+  entry->asked = entry->refused = 0;
+  return *entry;
 }
 
-double Pressure::HeldBack(TimePoint now, const std::string& tenant, Duration window) {
-  const Tenant& known = Roll(now, tenant, window);
-  return std::max(known.held_back, Part(known.refused, known.asked));
+double PriorityThrottle::ThrottleLevel(TimePoint now, const std::string& tenant, Duration window) {
+  const Tenant& entry = CurrentWindow(now, tenant, window);
+  return std::max(entry.throttle, RefusedPart(entry.refused, entry.asked));
 }
 
-bool Pressure::MayAsk(TimePoint now, const std::string& tenant, Duration window, int steps, double chance) {
-  if (steps > 0) return chance >= HeldBack(now, tenant, window) * (1 - std::pow(kStep, steps));
-  Roll(now, tenant, window).asked += 1;
+bool PriorityThrottle::Allow(TimePoint now, const std::string& tenant, Duration window, int rank,
+                             double chance) {
+  if (rank > 0) return chance >= ThrottleLevel(now, tenant, window) * (1 - std::pow(kStepFactor, rank));
+  CurrentWindow(now, tenant, window).asked += 1;
   return true;
 }
 
-void Pressure::Refused(TimePoint now, const std::string& tenant, Duration window) {
-  Roll(now, tenant, window).refused += 1;
+void PriorityThrottle::RecordRefusal(TimePoint now, const std::string& tenant, Duration window) {
+  CurrentWindow(now, tenant, window).refused += 1;
 }
 
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/src/quota/quota_counters.hpp
+++ b/src/quota/quota_counters.hpp
@@ -1,8 +1,8 @@
-// The counts that one member of the core holds for all gateways: an add to a name gives the new total, until
-// the name's time is up. Pure: time is an argument. docs/system.md, "Count".
+// Quota counters that one core member holds for all gateways: an add to a counter returns its new total,
+// until the counter expires. Pure: time is an argument. docs/system.md, "Count".
 //
-// A gateway that can't be heard goes on by its measured share. So each new count begins with the shares of
-// those that are away already added: what they may let in is not given out a second time.
+// An unreachable gateway continues with its measured share. So each new counter starts with the shares of the
+// unreachable gateways already added, and what they may admit is not given out a second time.
 #pragma once
 
 #include <cstddef>
@@ -16,60 +16,61 @@
 
 #include "logic.hpp"
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 
-class HeldCounts {
+class QuotaCounters {
  public:
-  explicit HeldCounts(double slack = 20) : slack_(slack) {}  // of the rule, in requests
+  explicit QuotaCounters(double slack = 20) : slack_(slack) {}  // of the quota rule, in requests
 
-  static constexpr std::size_t kMostCounts = 65'536;  // some 100 bytes each; beyond that no name is begun
-  static constexpr std::size_t kMostUses = 65'536;    // by tenant and gateway
+  static constexpr std::size_t kMaxCounters = 65'536;  // about 100 bytes each; no further counter is created
+  static constexpr std::size_t kMaxUsageEntries = 65'536;  // entries by tenant and gateway
 
   struct Call {
-    std::string tenant, gateway;  // whose, and who adds
-    CountName name;
-    Duration lifetime{};  // a window lasts half of it
+    std::string tenant, gateway;  // `gateway` is the one that adds
+    CounterName name;
+    Duration lifetime{};  // twice the window
     double amount = 0;
-    double quota = 0;    // of a window; 0: not known here
-    bool tight = false;  // the plan is (logic.hpp)
+    double quota = 0;                // of a window; 0: unknown
+    bool no_burst_headroom = false;  // of the plan (logic.hpp)
   };
 
-  // From now on nothing is known of what was added before: of a name whose lifetime is `lifetime`, nothing is
-  // counted until every window that may have begun before has ended.
+  // Starts without knowledge of earlier adds: a counter counts only after every window that may have started
+  // before has ended.
   void Begin(TimePoint now);
-  bool begun() const { return begun_.has_value(); }
-  void Stop() { begun_.reset(); }  // it holds no counts any more, or can't know whether it does
-  // Gateways that may be at work and are not heard here; `all`: that may be at work, this one included.
-  void SetAway(TimePoint now, const std::set<std::string>& away, std::set<std::string> all);
+  bool started() const { return started_at_.has_value(); }
+  void Stop() { started_at_.reset(); }  // the member no longer holds the counters, or cannot know
+  // Sets the gateways that may be running but are not heard here. `all`: all that may be running, with this
+  // one.
+  void SetUnreachable(TimePoint now, const std::set<std::string>& unreachable, std::set<std::string> all);
 
-  // nullopt: not counted, nothing was added.
+  // nullopt: nothing was added.
   std::optional<double> Add(TimePoint now, const Call& call);
-  std::size_t size() const { return counts_.size(); }
+  std::size_t size() const { return counters_.size(); }
 
  private:
-  struct Count {
+  struct Counter {
     double total = 0;
-    TimePoint ends;
+    TimePoint expires;
   };
-  struct Use {  // smoothed units
+  struct Usage {  // smoothed units
     double units = 0;
     TimePoint at;
   };
-  // Of a gateway, at this time or when it added last.
-  double OwnUse(const std::string& gateway, const Call& call, TimePoint at) const;
-  double AllUse(const Call& call) const;  // as of the last add
+  // Smoothed use of a gateway at `at`, or at its last add if that is later.
+  double LocalUse(const std::string& gateway, const Call& call, TimePoint at) const;
+  double TotalUse(const Call& call) const;  // as of the last add
   double Reserved(TimePoint now, const Call& call) const;
-  void Note(TimePoint now, const Call& call);
+  void RecordUse(TimePoint now, const Call& call);
 
   double slack_;
-  std::optional<TimePoint> begun_;
-  std::map<std::string, TimePoint> away_;  // since when
+  std::optional<TimePoint> started_at_;
+  std::map<std::string, TimePoint> unreachable_;  // since when each is unreachable
   std::set<std::string> all_;
-  std::set<std::string> heard_;  // since the beginning: they are back from their shares
-  std::map<CountName, Count> counts_;
-  std::set<std::pair<TimePoint, CountName>> by_end_;
-  std::unordered_map<std::string, std::map<std::string, Use>> tenants_;  // by gateway
-  std::size_t uses_ = 0;
+  std::set<std::string> heard_;  // since the start: they count again
+  std::map<CounterName, Counter> counters_;
+  std::set<std::pair<TimePoint, CounterName>> by_expiry_;
+  std::unordered_map<std::string, std::map<std::string, Usage>> tenants_;  // by gateway
+  std::size_t usage_count_ = 0;
 };
 
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/src/quota/quota_plan.hpp
+++ b/src/quota/quota_plan.hpp
@@ -1,4 +1,4 @@
-// How a tenant's quota is counted: from what its configuration allows to a plan of windows. Pure.
+// Converts a tenant's configured quota to a plan of fixed windows. Pure.
 #pragma once
 
 #include <string>
@@ -6,20 +6,20 @@
 #include "logic.hpp"
 #include "logic/leases.hpp"
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 
-// How long a request waits for a lease; then the measured share decides.
-inline constexpr Duration kCountWait = std::chrono::milliseconds(50);
+// How long a request waits for a lease before the measured share decides.
+inline constexpr Duration kCounterWait = std::chrono::milliseconds(50);
 
-// The windows of a tenant's count: so many in `span`, the rule's window, that one more of them, which a span
-// of that length may touch, is no more than the burst. A tenant without a burst gets windows of half a second
-// all the same, and a little less than its rate; one of a small rate windows of five units, as far as a
-// quarter of the rule's `slack` covers them: a window of less than one would let in nothing. A rate of 0: no
-// limit.
+// Chooses the tenant's counter window: `span`, the quota rule's window, is divided so that one more window,
+// which a span of that length may touch, is no more than the burst. A tenant without a burst gets windows of
+// half a second and slightly less than its rate. A tenant with a small rate gets windows of five units, as
+// far as a quarter of the rule's `slack` covers them, since a window below one unit would admit nothing. A
+// rate of 0 means no limit.
 Plan MakePlan(const std::string& name, double rate_per_s, double burst_size, Duration span, double slack);
 
-// How a gateway counts where `gateways` share the counts, itself included. `salt`: another one in each;
-// `slack`: the rule's, in requests.
-Leases::Options LeaseOptions(int gateways, Duration wait, std::uint64_t salt, double slack);
+// Options for a gateway where `gateways` share the counters, itself included. `salt` differs per gateway;
+// `slack` is the rule's, in requests.
+Leases::Options MakeLeaseOptions(int gateways, Duration wait, std::uint64_t salt, double slack);
 
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/src/rehearsal/judge.cpp
+++ b/src/rehearsal/judge.cpp
@@ -74,7 +74,8 @@
   request.customer = ask.customer;
   request.gateway = ask.gateway;
   request.units = ask.units;
-  request.safe = scenario_.classes[static_cast<std::size_t>(ask.request_class)].asked.repeat == Repeat::kSafe;
+  request.safe =
+      scenario_.classes[static_cast<std::size_t>(ask.request_class)].asked.repeat == RepeatSafety::kSafe;
   if (!request.safe) ++unsafe_;
 }
 
--- a/src/rehearsal/scenario.cpp
+++ b/src/rehearsal/scenario.cpp
@@ -53,9 +53,9 @@
   if (plan.asked.deadline < plan.asked.aim) table.Fail("deadline_ms", "is below aim_ms");
   plan.asked.worth = table.Number("worth", 1, 0, 1e6);
   plan.asked.late_worth = table.Number("late_worth", 0, 0, 1e6);
-  plan.asked.repeat = table.Word("repeat", Repeat::kSafe,
-                                 std::array<std::pair<std::string_view, Repeat>, 2>{
-                                     {{"safe", Repeat::kSafe}, {"unsafe", Repeat::kUnsafe}}});
+  plan.asked.repeat = table.Word("repeat", RepeatSafety::kSafe,
+                                 std::array<std::pair<std::string_view, RepeatSafety>, 2>{
+                                     {{"safe", RepeatSafety::kSafe}, {"unsafe", RepeatSafety::kUnsafe}}});
   plan.work.mean = table.Time("work_ms", kMs, std::chrono::milliseconds(50), 0.001, 600'000);
   plan.work.cv = table.Number("work_cv", plan.work.cv, 0, 10);
   plan.work.times = table.Word("work_times", plan.work.times,
@@ -231,7 +231,9 @@
   return scenario;
 }
 
-const char* EffectWord(Repeat repeat) { return repeat == Repeat::kSafe ? "read_like" : "non_idempotent"; }
+const char* EffectWord(RepeatSafety repeat) {
+  return repeat == RepeatSafety::kSafe ? "read_like" : "non_idempotent";
+}
 
 std::int64_t Ns(Duration duration) { return duration.count(); }
 
--- a/src/rehearsal/stage.cpp
+++ b/src/rehearsal/stage.cpp
@@ -191,7 +191,7 @@
     case FaultKind::kNodeReborn:
       if (begins && up) {
         Kill(target, now, hand);
-        List(target, HostState::kGone, now, hand);
+        List(target, HostState::kRemoved, now, hand);
       }
       if (!begins && !up && fault.kind == FaultKind::kNodeRestart) Start(target, now, hand, witness);
       if (!begins && !up && fault.kind == FaultKind::kNodeReborn)
@@ -205,7 +205,7 @@
         List(target, HostState::kDraining, now, hand);
         if (fault.kind == FaultKind::kNodeReplace) new_node(static_cast<int>(nodes.size()), "n");
       } else if (step.stepping == Stepping::kEnd) {
-        List(target, HostState::kGone, now, hand);
+        List(target, HostState::kRemoved, now, hand);
       } else {
         Kill(target, now, hand);
       }
--- a/src/roster/by_hand.cpp
+++ b/src/roster/by_hand.cpp
@@ -19,7 +19,7 @@
   }
   for (Member& member : members.members) {
     const HostId host = member.entry.host;
-    if (member.entry.state == HostState::kGone) {
+    if (member.entry.state == HostState::kRemoved) {
       if (listed_.erase(host) > 0) Left(host);
     } else {
       std::erase(left_, host);
--- a/src/standin/crowd.cpp
+++ b/src/standin/crowd.cpp
@@ -171,7 +171,7 @@
   if (ending == Ending::kServed) return;
   // A client that reached nobody always tries once more: it does not count as a try.
   const bool harmless = ending == Ending::kRefused || ending == Ending::kNotReached;
-  if (!harmless && kind.repeat != Repeat::kSafe) return;
+  if (!harmless && kind.repeat != RepeatSafety::kSafe) return;
   if (ending != Ending::kNotReached && (!person.retries || ask.tries >= habits_.most_tries)) return;
   Duration wait =
       FromSeconds(Seconds(habits_.backoff) * std::pow(2.0, ask.tries - 1) * Uniform(random_, 0.5, 1.5));
--- a/src/standin/crowd.hpp
+++ b/src/standin/crowd.hpp
@@ -38,7 +38,7 @@
   double share = 1;
   Duration aim{}, deadline{};
   double worth = 1, late_worth = 0;
-  Repeat repeat = Repeat::kSafe;
+  RepeatSafety repeat = RepeatSafety::kSafe;
 };
 
 struct CrowdHabits {
--- a/src/standin/discovery.cpp
+++ b/src/standin/discovery.cpp
@@ -45,7 +45,7 @@
   for (std::uint64_t v = answer.all ? 0 : *from; v < answer.version; ++v)
     nodes[versions_[v].node.node] = versions_[v].node;
   for (const auto& [index, node] : nodes)
-    if (!answer.all || node.state != HostState::kGone) answer.nodes.push_back(node);
+    if (!answer.all || node.state != HostState::kRemoved) answer.nodes.push_back(node);
   return answer;
 }
 
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -80,7 +80,7 @@
       timer_(loop, [this](int) { OnTimer(); }),
       count_timer_(loop,
                    [this](int) {
-                     for (const CountAnswered& answer : std::exchange(counted_, {})) OnCount(answer);
+                     for (const CounterReply& answer : std::exchange(counted_, {})) OnCount(answer);
                    }),
       salt_(rng_()),
       fresh_(settings.bootstrap) {
@@ -99,8 +99,8 @@
   gateways_ = std::max(1, gateways);
   index_ = index;
   in_zone_ = in_zone;
-  const Duration wait = OneRegion(settings_) ? counting::kCountWait : kFarCountWait;
-  leases_.Configure(Now(), counting::LeaseOptions(gateways_, wait, salt_, settings_.bounds.quota_slack));
+  const Duration wait = OneRegion(settings_) ? quota::kCounterWait : kFarCountWait;
+  leases_.Configure(Now(), quota::MakeLeaseOptions(gateways_, wait, salt_, settings_.bounds.quota_slack));
   for (auto& [name, service] : services_) service->budget.SetGateways(gateways_);
   return moved;
 }
@@ -165,7 +165,8 @@
   request.course = trying::Course(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
   request.rank =
       static_cast<int>(std::lower_bound(ranks_.begin(), ranks_.end(), route->priority) - ranks_.begin());
-  if (!told.empty()) request.spent = pressure_.Spent(request.arrived, route->name, milliseconds(deadline));
+  if (!told.empty())
+    request.spent = pressure_.TimeSpent(request.arrived, route->name, milliseconds(deadline));
   requests_.emplace(id, std::move(request));
   RequestArrived came;
   came.id = id;
@@ -194,12 +195,12 @@
   const auto plan = plans_.find(request.tenant);
   if (request.tenant.empty() || plan == plans_.end()) return Dispatch(request);
   request.steps = request.rank + (request.spent + FromSeconds(Mean(request)) > request.route->target_latency);
-  if (!pressure_.MayAsk(request.arrived, request.tenant, plan->second->window, request.steps, Random()))
+  if (!pressure_.Allow(request.arrived, request.tenant, plan->second->window, request.steps, Random()))
     return Refuse(request, plan->second->window);
   request.claim.id = id;
   request.claim.units = 1;
   request.claim.arrived = request.arrived;
-  leases_.Ask(Now(), request.claim, request.tenant, plan->second);
+  leases_.Acquire(Now(), request.claim, request.tenant, plan->second);
 }
 
 void Front::Admit(Leases::Claim& claim) {
@@ -215,9 +216,10 @@
   if (it == requests_.end()) return;
   // What a share refuses says nothing of the units that are left elsewhere.
   const Leases::Customer& customer = *claim.customer;
-  const bool by_count = !leases_.memory().silent && !(customer.calling && customer.given_up) &&
+  const bool by_count = !leases_.state().counter_down && !(customer.calling && customer.given_up) &&
                         Now() < claim.arrived + leases_.options().wait;
-  if (by_count && it->second.steps == 0) pressure_.Refused(Now(), it->second.tenant, customer.plan->window);
+  if (by_count && it->second.steps == 0)
+    pressure_.RecordRefusal(Now(), it->second.tenant, customer.plan->window);
   Refuse(it->second, retry_after);
 }
 
@@ -404,7 +406,7 @@
 void Front::Conclude(Request& request, Duration retry_after, int status) {
   const RequestId id = request.id;
   const bool promise = request.course.MayPromise();
-  if (promise && request.claim.customer != nullptr) leases_.Return(Now(), request.claim);
+  if (promise && request.claim.customer != nullptr) leases_.Release(Now(), request.claim);
   Forget(request);
   if (promise) {
     ++figures_.declined;
@@ -427,7 +429,7 @@
   if (it == requests_.end()) return;
   Request& request = it->second;
   ++figures_.left;
-  if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
+  if (request.claim.customer != nullptr && !request.held_open) leases_.Cancel(request.claim);
   GiveUp(request, choosing::End::kNothing);
   Forget(request);
 }
@@ -445,7 +447,7 @@
 void Front::RefuseBody(Request& request) {
   const RequestId id = request.id;
   ++counts_.rejected;
-  if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
+  if (request.claim.customer != nullptr && !request.held_open) leases_.Cancel(request.claim);
   GiveUp(request, choosing::End::kNothing);
   Forget(request);
   Decline(id, 413, {}, kBodyTooLarge);
@@ -457,7 +459,7 @@
 
 // ---- Times --------------------------------------------------------------------------------------------
 
-void Front::Start(const SetTimer& timer) {
+void Front::StartTimer(const SetTimer& timer) {
   count_timers_.emplace(Now() + timer.delay, timer.token.value);
   ArmTimer();
 }
@@ -485,7 +487,7 @@
       if (it == requests_.end()) continue;
       ++figures_.expired;
       Request& request = it->second;
-      if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
+      if (request.claim.customer != nullptr && !request.held_open) leases_.Cancel(request.claim);
       GiveUp(request, choosing::End::kFailed);
       Conclude(request, milliseconds(50), 504);
     }
@@ -493,16 +495,16 @@
   ArmTimer();
 }
 
-void Front::OnCount(const CountAnswered& answer) {
-  Run([&] { leases_.OnCount(Now(), answer); });
+void Front::OnCount(const CounterReply& answer) {
+  Run([&] { leases_.OnCounterReply(Now(), answer); });
 }
 
-void Front::CountLater(const CountAnswered& answer) {
+void Front::CountLater(const CounterReply& answer) {
   counted_.push_back(answer);
   if (!count_timer_.active()) count_timer_.StartIn(Duration::zero());
 }
 
-void Front::Note(const Log& line) { events::Say(events::Event::kCounterSilent, line.text); }
+void Front::WriteLog(const WriteLogLine& line) { events::Say(events::Event::kCounterSilent, line.text); }
 
 void Front::KeepHouse() {
   Run([this] {
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -33,7 +33,7 @@
 class Front : public net::Door, net::Inputs, net::Uploads::Owner, net::Dialect, Leases::Port {
  public:
   // Adds to the tenant's count, wherever it stands; the answer comes by OnCount().
-  using AddToCount = std::function<void(const std::string& tenant, const AddCount& call)>;
+  using AddToCount = std::function<void(const std::string& tenant, const AddToCounter& call)>;
   using OffsetOf = std::function<Duration(const std::string& tenant)>;
 
   // Whether what is known here may be gone by: the list of hosts, and the configuration in force. Empty:
@@ -60,8 +60,8 @@
   std::shared_ptr<const Plan> PlanOf(const std::string& tenant) const;
   // Requests that wait until what is known here is proved go on, if it is, or if that is done without.
   void SendWaiting();
-  void OnCount(const CountAnswered& answer);
-  void CountLater(const CountAnswered& answer);  // the same from within AddToCount: from the loop
+  void OnCount(const CounterReply& answer);
+  void CountLater(const CounterReply& answer);  // the same from within AddToCount: from the loop
 
   // What is to be done now and then: times, idle connections.
   void KeepHouse();
@@ -81,7 +81,7 @@
   const Figures& figures() const { return figures_; }
   std::uint64_t opened() const { return upstream_.opened(); }
   std::size_t host_connections() const { return upstream_.connections(); }
-  std::vector<Leases::View> LookAtTenants() { return leases_.Look(Now()); }  // for operators
+  std::vector<Leases::CustomerView> LookAtTenants() { return leases_.ListCustomers(Now()); }  // for operators
 
  private:
   // What no configuration's limit goes beyond here; the limit in force is looked at with each request.
@@ -154,9 +154,9 @@
   // Leases.
   void Admit(Leases::Claim& claim) override;
   void Deny(Leases::Claim& claim, Duration retry_after) override;
-  void Add(const std::string& customer, const AddCount& call) override { add_(customer, call); }
-  void Start(const SetTimer& timer) override;
-  void Note(const Log& line) override;
+  void Add(const std::string& customer, const AddToCounter& call) override { add_(customer, call); }
+  void StartTimer(const SetTimer& timer) override;
+  void WriteLog(const WriteLogLine& line) override;
   Duration ClockOffset(const std::string& customer) const override { return offset_(customer); }
 
   template <typename Do>
@@ -197,7 +197,7 @@
   net::Upstream upstream_;
   net::Uploads uploads_;
   Leases leases_;
-  counting::Pressure pressure_;
+  quota::PriorityThrottle pressure_;
   std::shared_ptr<const policy::Policy> policy_;
   std::unordered_map<std::string, std::shared_ptr<const Plan>> plans_;  // of the policy in force, by tenant
   std::vector<int> ranks_;  // priorities that routes of the policy in force have, the highest first
@@ -216,7 +216,7 @@
   std::set<std::pair<TimePoint, RequestId>> deadlines_;
   std::set<std::pair<TimePoint, std::uint64_t>> count_timers_;  // by token
   net::TimerWatcher timer_, count_timer_;
-  std::vector<CountAnswered> counted_;
+  std::vector<CounterReply> counted_;
   std::deque<Input> inputs_queue_;
   bool running_ = false;
   int gateways_ = 1;
--- a/src/system/front_in_force.cpp
+++ b/src/system/front_in_force.cpp
@@ -12,9 +12,9 @@
   split_sequence_.OnPolicy(*policy_);
   std::unordered_map<std::string, std::shared_ptr<const Plan>> plans;
   for (const policy::Tenant& tenant : policy_->tenants()) {
-    auto plan = std::make_shared<const Plan>(
-        counting::MakePlan(tenant.name, tenant.rate_per_s, tenant.burst_size, settings_.bounds.quota_window,
-                           settings_.bounds.quota_slack));
+    auto plan = std::make_shared<const Plan>(quota::MakePlan(tenant.name, tenant.rate_per_s,
+                                                             tenant.burst_size, settings_.bounds.quota_window,
+                                                             settings_.bounds.quota_slack));
     const auto known = plans_.find(tenant.name);
     plans[tenant.name] = known != plans_.end() && *known->second == *plan ? known->second : std::move(plan);
   }
@@ -23,7 +23,7 @@
   for (const policy::Route& route : policy_->routes()) ranks_.push_back(route.priority);
   std::sort(ranks_.begin(), ranks_.end());
   ranks_.erase(std::unique(ranks_.begin(), ranks_.end()), ranks_.end());
-  leases_.Replan(Now(), [this](const std::string& name) {
+  leases_.UpdatePlans(Now(), [this](const std::string& name) {
     const auto it = plans_.find(name);
     return it != plans_.end() ? it->second : nullptr;
   });
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -47,7 +47,7 @@
       feed_(FeedOptions(settings_)),
       front_(
           loop, settings_, front_descriptors_, rng_(),
-          [this](const std::string& tenant, const AddCount& call) { AddToCount(tenant, call); },
+          [this](const std::string& tenant, const AddToCounter& call) { AddToCount(tenant, call); },
           [this](const std::string& tenant) { return ClockOffset(tenant); },
           {&registry_lease_, [this] { return !resumed_at_; }}),
       control_(
@@ -209,13 +209,13 @@
   core_calls_.Tick(now);
   TickCoordination();
   TickReplications();
-  std::vector<CountName> unanswered;
+  std::vector<CounterName> unanswered;
   for (auto it = addings_.begin(); it != addings_.end();) {
     const bool late = now >= it->second.ends;
     if (late) unanswered.push_back(it->second.name);
     it = late ? addings_.erase(it) : std::next(it);
   }
-  for (const CountName name : unanswered) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
+  for (const CounterName name : unanswered) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
   if (ticks_ % kSecondTicks == 0) {
     if (const auto proved = registry_lease_.proved_at()) directory_.ConfirmLeaves(*proved);
     directory_.Forget(now);
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -74,7 +74,7 @@
     std::uint64_t stream = 0, number = 0;
   };
   struct Adding {
-    CountName name;
+    CounterName name;
     std::uint64_t stream = 0;
     Steady ends;
   };
@@ -254,9 +254,9 @@
 
   // Count.
   const CoreMember* Holder(const std::string& tenant) const;
-  void AddToCount(const std::string& tenant, const AddCount& call);
+  void AddToCount(const std::string& tenant, const AddToCounter& call);
   Duration ClockOffset(const std::string& tenant) const;
-  std::optional<double> AddHere(const std::string& tenant, const std::string& gateway, CountName name,
+  std::optional<double> AddHere(const std::string& tenant, const std::string& gateway, CounterName name,
                                 Duration lifetime, double amount);
   void LookWhoIsAway();
   static bool MayBeAtWork(const fleet::Member& member);
@@ -333,7 +333,7 @@
   std::unordered_map<std::uint64_t, Replication> replications_;
   std::unordered_map<std::uint64_t, Adding> addings_;
   std::uint64_t next_number_ = rng_();  // no two processes begin alike
-  counting::HeldCounts counts_{settings_.bounds.quota_slack};
+  quota::QuotaCounters counts_{settings_.bounds.quota_slack};
 
   // Of the latest order here, until it is refused or in force.
   std::shared_ptr<const policy::Policy> checked_;
--- a/src/system/node_count.cpp
+++ b/src/system/node_count.cpp
@@ -21,14 +21,14 @@
   return best;
 }
 
-std::optional<double> Node::AddHere(const std::string& tenant, const std::string& gateway, CountName name,
+std::optional<double> Node::AddHere(const std::string& tenant, const std::string& gateway, CounterName name,
                                     Duration lifetime, double amount) {
   const CoreMember* holder = Holder(tenant);
   const bool here = holder != nullptr && holder->name == settings_.node_name && holder->disk == disk_;
   if (!here || !had_majority_) return std::nullopt;
   const auto plan = front_.PlanOf(tenant);
   return counts_.Add(Net(Now()), {tenant, gateway, name, lifetime, amount, plan != nullptr ? plan->burst : 0,
-                                  plan != nullptr && plan->tight});
+                                  plan != nullptr && plan->no_burst_headroom});
 }
 
 // It has not said that it leaves, and was there not long ago.
@@ -49,10 +49,10 @@
     all.insert(name);
     if (!heard.contains(name)) away.insert(name);
   }
-  counts_.SetAway(Net(Now()), away, std::move(all));
+  counts_.SetUnreachable(Net(Now()), away, std::move(all));
 }
 
-void Node::AddToCount(const std::string& tenant, const AddCount& call) {
+void Node::AddToCount(const std::string& tenant, const AddToCounter& call) {
   const CoreMember* holder = Holder(tenant);
   Link::Stream* stream = nullptr;
   const bool here = holder != nullptr && holder->name == settings_.node_name;
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -70,13 +70,13 @@
   source_.OnDown(stream.number);
   if (stream.dialled()) feed_.OnDown(Now(), stream.name);
   if (stream.dialled()) Say(Event::kLinkDown, stream.to().ToText() + " " + stream.name);
-  std::vector<CountName> lost;
+  std::vector<CounterName> lost;
   for (auto it = addings_.begin(); it != addings_.end();) {
     const bool of_it = it->second.stream == stream.number;
     if (of_it) lost.push_back(it->second.name);
     it = of_it ? addings_.erase(it) : std::next(it);
   }
-  for (const CountName name : lost) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
+  for (const CounterName name : lost) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
   core_calls_.OnStreamDown(Now(), stream.number);
   coordination_calls_.OnStreamDown(Now(), stream.number);
   if (coordination_) coordination_->OnStreamDown(stream.number);
@@ -210,7 +210,7 @@
   const bool in_step =
       std::abs(message.clock_us - Microseconds(Now())) <= kMostAstray / std::chrono::microseconds(1);
   const auto total = !in_step ? std::nullopt
-                              : AddHere(message.tenant, stream.name, CountName{message.count},
+                              : AddHere(message.tenant, stream.name, CounterName{message.count},
                                         std::chrono::microseconds(message.lifetime_us), message.amount);
   stream.Send(Encode(Total{message.number, total.has_value(), total.value_or(0)}));
 }
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -265,11 +265,11 @@
   answer.Number("rate_per_s", tenant->rate_per_s).Number("burst_size", tenant->burst_size);
   const auto views = front_.LookAtTenants();
   const auto view = std::find_if(views.begin(), views.end(),
-                                 [&](const Leases::View& each) { return each.name == tenant->name; });
+                                 [&](const Leases::CustomerView& each) { return each.name == tenant->name; });
   answer.Flag("seen_here", view != views.end());  // else no request of it has come here of late
   if (view != views.end()) {
     Object here = answer.Inner("here");
-    here.Number("level", view->level).Number("held", view->held).Number("lease", view->lease);
+    here.Number("level", view->level).Number("held", view->leased).Number("lease", view->lease_size);
     here.Number("share", view->share).Number("window", static_cast<double>(view->window));
   }
   if (const CoreMember* holder = Holder(tenant->name)) {
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -148,29 +148,32 @@
 
 constexpr Words<Outcome, 8> kOutcomes{{{"Ok", Outcome::kOk},
                                        {"Failed", Outcome::kError},
-                                       {"QueueFull", Outcome::kFull},
+                                       {"QueueFull", Outcome::kQueueFull},
                                        {"TimedOut", Outcome::kTimeout},
                                        {"ConnectError", Outcome::kConnectFailed},
                                        {"ResetByPeer", Outcome::kReset},
                                        {"Canceled", Outcome::kCancelled},
-                                       {"Ignored", Outcome::kMoot}}};
+                                       {"Ignored", Outcome::kDiscarded}}};
 constexpr Words<HostState, 3> kHostStates{
-    {{"IN", HostState::kReady}, {"LAME", HostState::kDraining}, {"OUT", HostState::kGone}}};
-constexpr Words<ListKind, 4> kListKinds{{{"diff", ListKind::kDelta},
-                                         {"snapshot", ListKind::kFull},
-                                         {"disk", ListKind::kCached},
-                                         {"error", ListKind::kFailed}}};
-constexpr Words<Repeat, 3> kRepeats{
-    {{"read_like", Repeat::kSafe}, {"idempotency_key", Repeat::kKeyed}, {"non_idempotent", Repeat::kUnsafe}}};
-constexpr Words<RepeatGroup, 3> kGroups{
-    {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kCell}}};
-constexpr Words<Discovery, 2> kDiscoveries{{{"pushed", Discovery::kPush}, {"on_request", Discovery::kAsk}}};
-constexpr Words<Reports, 3> kReports{
-    {{"off", Reports::kNone}, {"inline", Reports::kInAnswers}, {"on_probe", Reports::kByProbe}}};
-constexpr Words<SizeHint, 4> kSizeHints{{{"off", SizeHint::kNone},
-                                         {"nominal", SizeHint::kNominal},
-                                         {"rough", SizeHint::kRough},
-                                         {"live", SizeHint::kLive}}};
+    {{"IN", HostState::kReady}, {"LAME", HostState::kDraining}, {"OUT", HostState::kRemoved}}};
+constexpr Words<HostListKind, 4> kListKinds{{{"diff", HostListKind::kDelta},
+                                             {"snapshot", HostListKind::kFull},
+                                             {"disk", HostListKind::kCached},
+                                             {"error", HostListKind::kFailed}}};
+constexpr Words<RepeatSafety, 3> kRepeats{{{"read_like", RepeatSafety::kSafe},
+                                           {"idempotency_key", RepeatSafety::kKeyed},
+                                           {"non_idempotent", RepeatSafety::kUnsafe}}};
+constexpr Words<DedupScope, 3> kGroups{
+    {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}}};
+constexpr Words<DiscoveryMode, 2> kDiscoveries{
+    {{"pushed", DiscoveryMode::kPush}, {"on_request", DiscoveryMode::kSubscribe}}};
+constexpr Words<LoadReportMode, 3> kReports{{{"off", LoadReportMode::kNone},
+                                             {"inline", LoadReportMode::kInResponses},
+                                             {"on_probe", LoadReportMode::kOnProbe}}};
+constexpr Words<CapacityHint, 4> kSizeHints{{{"off", CapacityHint::kNone},
+                                             {"nominal", CapacityHint::kNominal},
+                                             {"rough", CapacityHint::kRough},
+                                             {"live", CapacityHint::kLive}}};
 
 // ---- Settings: path to place, by the type of the place -------------------------------------------------
 
@@ -198,11 +201,11 @@
     if (text == word) place = value;
   return true;
 }
-bool Read(std::string_view text, Repeat& place) { return ReadWord(text, kRepeats, place); }
-bool Read(std::string_view text, RepeatGroup& place) { return ReadWord(text, kGroups, place); }
-bool Read(std::string_view text, Discovery& place) { return ReadWord(text, kDiscoveries, place); }
-bool Read(std::string_view text, Reports& place) { return ReadWord(text, kReports, place); }
-bool Read(std::string_view text, SizeHint& place) { return ReadWord(text, kSizeHints, place); }
+bool Read(std::string_view text, RepeatSafety& place) { return ReadWord(text, kRepeats, place); }
+bool Read(std::string_view text, DedupScope& place) { return ReadWord(text, kGroups, place); }
+bool Read(std::string_view text, DiscoveryMode& place) { return ReadWord(text, kDiscoveries, place); }
+bool Read(std::string_view text, LoadReportMode& place) { return ReadWord(text, kReports, place); }
+bool Read(std::string_view text, CapacityHint& place) { return ReadWord(text, kSizeHints, place); }
 
 template <typename Owner>
 using Setter = bool (*)(std::string_view, Owner&);
@@ -217,12 +220,12 @@
 const SetterTable<RequestClass>& ClassSetters() {
   static const SetterTable<RequestClass> table{
       CURLEWDOOR_PLACE(RequestClass, "name", name),
-      CURLEWDOOR_PLACE(RequestClass, "aim_ns", aim),
-      CURLEWDOOR_PLACE(RequestClass, "aim_stretch", aim_stretch),
+      CURLEWDOOR_PLACE(RequestClass, "aim_ns", latency_target),
+      CURLEWDOOR_PLACE(RequestClass, "aim_stretch", latency_target_stretch),
       CURLEWDOOR_PLACE(RequestClass, "deadline_ns", deadline),
-      CURLEWDOOR_PLACE(RequestClass, "dedup_window_ns", repeat_window),
+      CURLEWDOOR_PLACE(RequestClass, "dedup_window_ns", dedup_window),
       CURLEWDOOR_PLACE(RequestClass, "effect", repeat),
-      CURLEWDOOR_PLACE(RequestClass, "group", group),
+      CURLEWDOOR_PLACE(RequestClass, "group", dedup_scope),
       CURLEWDOOR_PLACE(RequestClass, "late_worth", late_worth),
       CURLEWDOOR_PLACE(RequestClass, "streamed", stream),
       CURLEWDOOR_PLACE(RequestClass, "worth", worth),
@@ -232,11 +235,11 @@
 
 const SetterTable<Plan>& PlanSetters() {
   static const SetterTable<Plan> table{
-      CURLEWDOOR_PLACE(Plan, "beyond_earns", beyond_worth),
+      CURLEWDOOR_PLACE(Plan, "beyond_earns", excess_worth),
       CURLEWDOOR_PLACE(Plan, "burst", burst),
       CURLEWDOOR_PLACE(Plan, "cap_slack", ceiling_slack),
-      CURLEWDOOR_PLACE(Plan, "concurrency", open_cap),
-      CURLEWDOOR_PLACE(Plan, "excess_cost", beyond_cost),
+      CURLEWDOOR_PLACE(Plan, "concurrency", max_concurrent),
+      CURLEWDOOR_PLACE(Plan, "excess_cost", excess_cost),
       CURLEWDOOR_PLACE(Plan, "hard_burst", ceiling_burst),
       CURLEWDOOR_PLACE(Plan, "name", name),
       CURLEWDOOR_PLACE(Plan, "never_over_rate", ceiling_rate),
@@ -277,7 +280,7 @@
       CURLEWDOOR_PLACE(Settings, "limits.probes", limits.probes),
       CURLEWDOOR_PLACE(Settings, "limits.retry_after", limits.retry_after),
       CURLEWDOOR_PLACE(Settings, "limits.second_copies", limits.second_copies),
-      CURLEWDOOR_PLACE(Settings, "me", me),
+      CURLEWDOOR_PLACE(Settings, "me", own_index),
       CURLEWDOOR_PLACE(Settings, "prices.connection", prices.connection),
       CURLEWDOOR_PLACE(Settings, "prices.cross_zone", prices.cross_zone),
       CURLEWDOOR_PLACE(Settings, "prices.discovery", prices.discovery),
@@ -293,15 +296,15 @@
       CURLEWDOOR_PLACE(Settings, "rules.cold_from", rules.cold_from),
       CURLEWDOOR_PLACE(Settings, "rules.cold_ns", rules.cold_time),
       CURLEWDOOR_PLACE(Settings, "rules.drain_grace_ns", rules.drain_grace),
-      CURLEWDOOR_PLACE(Settings, "rules.must_ask_in_ns", rules.ask_within),
-      CURLEWDOOR_PLACE(Settings, "rules.overload_factor", rules.fall_multiple),
-      CURLEWDOOR_PLACE(Settings, "rules.tip_after_ns", rules.fall_time),
+      CURLEWDOOR_PLACE(Settings, "rules.must_ask_in_ns", rules.subscribe_within),
+      CURLEWDOOR_PLACE(Settings, "rules.overload_factor", rules.overload_factor),
+      CURLEWDOOR_PLACE(Settings, "rules.tip_after_ns", rules.overload_time),
       CURLEWDOOR_PLACE(Settings, "service_type", family),
       CURLEWDOOR_PLACE(Settings, "siblings", gateways),
       CURLEWDOOR_PLACE(Settings, "stages", tiers),
-      CURLEWDOOR_PLACE(Settings, "stats.columns", reports.fields),
-      CURLEWDOOR_PLACE(Settings, "stats.how", reports.how),
-      CURLEWDOOR_PLACE(Settings, "weight_kind", size_hint),
+      CURLEWDOOR_PLACE(Settings, "stats.columns", load_reports.fields),
+      CURLEWDOOR_PLACE(Settings, "stats.how", load_reports.mode),
+      CURLEWDOOR_PLACE(Settings, "weight_kind", capacity_hint),
       CURLEWDOOR_PLACE(Settings, "zone", zone),
   };
   return table;
@@ -374,7 +377,7 @@
   entry.kind = f.Text("flavor", false);
   entry.cell = f.Integer("cell", std::numeric_limits<std::int64_t>::min(), kMaxTime, 0);
   entry.state = f.Choice("availability", kHostStates);
-  entry.size_hint = f.Real("capacity_hint", 1);
+  entry.capacity_hint = f.Real("capacity_hint", 1);
   entry.started = TimePoint(f.Time("up_since_ns", false));
   return entry;
 }
@@ -405,8 +408,8 @@
   ended.outcome = f.Choice("how", kOutcomes);
   ended.closed = f.Bool("settled");
   ended.latency = f.Time("lag_ns", false);
-  ended.true_units = f.Real("actual", 0);
-  ended.meter_use = f.Real("fleet_use", 0);
+  ended.actual_units = f.Real("actual", 0);
+  ended.meter_reading = f.Real("fleet_use", 0);
   ended.load = f.Load("stats");
   return ended;
 }
@@ -429,9 +432,9 @@
   return ended;
 }
 
-CountAnswered ReadCountAnswered(Fields& f) {
-  CountAnswered answered;
-  answered.name = CountName{f.Unsigned("entry_name", kMaxToken, true)};
+CounterReply ReadCounterReply(Fields& f) {
+  CounterReply answered;
+  answered.name = CounterName{f.Unsigned("entry_name", kMaxToken, true)};
   answered.outcome = f.Choice("how", kOutcomes);
   answered.latency = f.Time("lag_ns", false);
   answered.total = f.Real("total", 0);
@@ -468,12 +471,12 @@
     AppendPair("ticket", a.id.value, out);
     AppendPair("n", a.attempt, out);
   }
-  void operator()(const Refuse& a) {
+  void operator()(const RefuseRequest& a) {
     out += "BOUNCE";
     AppendPair("ticket", a.id.value, out);
     if (a.retry_after > Duration::zero()) AppendPair("hold_off_ns", a.retry_after.count(), out);
   }
-  void operator()(const Fail& a) {
+  void operator()(const FailRequest& a) {
     out += "END_FAILED";
     AppendPair("ticket", a.id.value, out);
   }
@@ -490,20 +493,20 @@
     out += "SHUT_IDLE";
     AppendPair("host", a.host.value, out);
   }
-  void operator()(const TellPeer& a) {
+  void operator()(const SendToPeer& a) {
     out += "ANNOUNCE";
     AppendPair("target", a.peer, out);
     out += " content=" + EncodeBase64(a.data);
   }
-  void operator()(const Watch& a) { out += a.on ? "KEEP_INFORMED want=1" : "KEEP_INFORMED want=0"; }
-  void operator()(const FetchList&) { out += "PULL"; }
-  void operator()(const AddCount& a) {
+  void operator()(const WatchHosts& a) { out += a.on ? "KEEP_INFORMED want=1" : "KEEP_INFORMED want=0"; }
+  void operator()(const FetchHostList&) { out += "PULL"; }
+  void operator()(const AddToCounter& a) {
     out += "BUMP";
     AppendPair("entry_name", a.name.value, out);
     AppendPair("lifetime_ns", a.lifetime.count(), out);
     AppendPair("add", a.amount, out);
   }
-  void operator()(const Log& a) { AppendText("NOTE_DOWN body_text=", a.text); }
+  void operator()(const WriteLogLine& a) { AppendText("NOTE_DOWN body_text=", a.text); }
 
   // Text runs to the end of the line, so it can hold no line break.
   void AppendText(std::string_view head, std::string_view text) {
@@ -607,7 +610,7 @@
   } else if (tag == "ACCEPTED") {
     add(Event(ReadAttemptStarted(f)));
   } else if (tag == "LEFT") {
-    add(Event(RequestGone{RequestId{f.Unsigned("ticket", kMaxId, true)}}));
+    add(Event(RequestAbandoned{RequestId{f.Unsigned("ticket", kMaxId, true)}}));
   } else if (tag == "TIMER") {
     add(Event(TimerFired{TimerToken{f.Unsigned("ctx", kMaxToken, true)}}));
   } else if (tag == "HEALTH") {
@@ -615,7 +618,7 @@
   } else if (tag == "NOTE_FROM") {
     add(Event(ReadPeerMessage(f)));
   } else if (tag == "COUNTED") {
-    add(Event(ReadCountAnswered(f)));
+    add(Event(ReadCounterReply(f)));
   } else {
     return Malformed("unknown message: " + name.substr(0, 80));
   }
--- a/tests/budget/model_check_test.cpp
+++ b/tests/budget/model_check_test.cpp
@@ -19,38 +19,39 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kGateways = 3;
-constexpr std::size_t kMostMail = 3;
+constexpr std::size_t kMaxMessages = 3;
 
 enum class Mutant {
   kNone,
-  kGrantsBeforeTheShrink,
+  kGrantsBeforeRelease,
   kNewDividerDoesNotWait,
-  kRestartSpendsOn,
+  kRestartKeepsSpending,
   kNoReserve,
-  kGrantOfAnotherLife,
-  kAnyQuestionRenews
+  kGrantOfOtherIncarnation,
+  kStaleRequestRenews
 };
 
 // With e = 1/3 a fast clock runs twice as fast as a slow one: the bound, in whole steps.
-Terms TermsOf(Units whole, Units reserve) {
-  Terms terms{whole, reserve, kGateways, {}};
+BudgetTerms TermsOf(Units whole, Units reserve) {
+  BudgetTerms terms{whole, reserve, kGateways, {}};
   terms.lease.lease = seconds(4);
   terms.lease.clock_bound = 1.0 / 3;
   return terms;
 }
 
-struct Mail {
-  bool question = true;
+struct Message {
+  bool sequence = true;
   std::size_t gateway = 0;
-  Want want;
-  Grant grant;
+  AllocationRequest want;
+  AllocationGrant grant;
 };
 
 struct State {
-  std::vector<Part> parts;
+  std::vector<Allocation> parts;
   std::vector<Divider> divider;  // one
-  std::vector<Mail> mail;
-  std::vector<std::pair<Units, Time>> spent_on;  // of kRestartSpendsOn: what a new life takes for its own
+  std::vector<Message> messages;
+  std::vector<std::pair<Units, Time>>
+      kept_spending;  // of kRestartSpendsOn: what a new life takes for its own
   std::vector<Life> lives;
   std::uint64_t token = 1;
   int true_time = 100, restarts = 0, moves = 0;
@@ -72,22 +73,22 @@
       state.lives.push_back(g + 1);
       state.parts.emplace_back(terms_, g + 1);
     }
-    state.spent_on.resize(kGateways);
+    state.kept_spending.resize(kGateways);
     state.divider.emplace_back(DividersTerms(), 1, Time{} - seconds(1000));
     if (granted_) {
-      state.parts[0].Divides(state.token);
-      const Want want = state.parts[0].Ask(Clock(state, 0), terms_.whole);
-      state.parts[0].OnGrant(Clock(state, 0), state.divider[0].OnWant(DividerClock(state), want));
-      Judge(state);
+      state.parts[0].ObserveDivider(state.token);
+      const AllocationRequest want = state.parts[0].Ask(Clock(state, 0), terms_.whole);
+      state.parts[0].OnGrant(Clock(state, 0), state.divider[0].OnRequest(DividerClock(state), want));
+      CheckInvariant(state);
     }
     Visit(state, 0);
-    return broken_;
+    return violation_;
   }
   std::size_t states() const { return seen_.size(); }
 
  private:
-  Terms DividersTerms() const {
-    Terms terms = terms_;
+  BudgetTerms DividersTerms() const {
+    BudgetTerms terms = terms_;
     if (mutant_ == Mutant::kNoReserve) terms.reserve = 0;
     return terms;
   }
@@ -98,15 +99,15 @@
 
   Units InForce(const State& state, std::size_t g) const {
     const Time now = Clock(state, g);
-    const auto& [spent, until] = state.spent_on[g];
-    return state.parts[g].May(now) + (now < until ? spent : 0);
+    const auto& [spent, until] = state.kept_spending[g];
+    return state.parts[g].Allowed(now) + (now < until ? spent : 0);
   }
-  bool Judge(const State& state) {
+  bool CheckInvariant(const State& state) {
     Units sum = 0;
     for (std::size_t g = 0; g < kGateways; ++g) sum += InForce(state, g);
     if (sum <= terms_.whole) return true;
-    broken_ = "parts of " + std::to_string(sum) + " in force:";
-    for (const std::string& step : trace_) broken_ += " " + step + ";";
+    violation_ = "parts of " + std::to_string(sum) + " in force:";
+    for (const std::string& step : trace_) violation_ += " " + step + ";";
     return false;
   }
 
@@ -117,117 +118,119 @@
       add(std::max<std::int64_t>(0, (until - now) / seconds(1)));
     };
     for (std::size_t g = 0; g < kGateways; ++g) {
-      const Part& part = state.parts[g];
+      const Allocation& part = state.parts[g];
       const Time now = Clock(state, g);
       left(part.until(), now);
       add(part.Granted(now));
       add(std::min<std::int64_t>(20, (now - part.asked_at()) / seconds(1)));
-      add(static_cast<std::int64_t>(part.question() * 64 + part.token() * 8 + part.divider()));
-      left(state.spent_on[g].second, now);
+      add(static_cast<std::int64_t>(part.sequence() * 64 + part.token() * 8 + part.divider()));
+      left(state.kept_spending[g].second, now);
     }
     left(state.divider[0].grants_from(), DividerClock(state));
-    for (const auto& [life, account] : state.divider[0].accounts()) {
-      add(static_cast<std::int64_t>(life));
-      add(account.told * 64 + account.granted);
-      add(static_cast<std::int64_t>(account.question));
+    for (const auto& [incarnation, account] : state.divider[0].accounts()) {
+      add(static_cast<std::int64_t>(incarnation));
+      add(account.reported * 64 + account.granted);
+      add(static_cast<std::int64_t>(account.sequence));
       left(account.ends, DividerClock(state));
     }
-    std::vector<std::string> letters;
-    for (const Mail& mail : state.mail) {
-      std::string letter;
-      letter += static_cast<char>(mail.question);
-      letter += static_cast<char>(mail.gateway);
-      letter += static_cast<char>(mail.question ? mail.want.question : mail.grant.question);
-      letter += static_cast<char>(mail.want.token * 2 + (mail.grant.taken ? 1 : 0));
-      letter += static_cast<char>(mail.question ? mail.want.part : mail.grant.part);
-      letter += static_cast<char>(mail.question ? mail.want.who : mail.grant.token * 32 + mail.grant.who);
-      letters.push_back(letter);
+    std::vector<std::string> encoded;
+    for (const Message& messages : state.messages) {
+      std::string message;
+      message += static_cast<char>(messages.sequence);
+      message += static_cast<char>(messages.gateway);
+      message += static_cast<char>(messages.sequence ? messages.want.sequence : messages.grant.sequence);
+      message += static_cast<char>(messages.want.token * 2 + (messages.grant.accepted ? 1 : 0));
+      message += static_cast<char>(messages.sequence ? messages.want.part : messages.grant.part);
+      message += static_cast<char>(messages.sequence ? messages.want.requester
+                                                     : messages.grant.token * 32 + messages.grant.requester);
+      encoded.push_back(message);
     }
-    std::sort(letters.begin(), letters.end());
-    for (const std::string& letter : letters) key += letter;
+    std::sort(encoded.begin(), encoded.end());
+    for (const std::string& message : encoded) key += message;
     add(state.restarts * 8 + state.moves);
     return key;
   }
 
   void Step(State next, int depth, std::string name) {
     trace_.push_back(std::move(name));
-    if (broken_.empty() && Judge(next)) Visit(next, depth + 1);
+    if (violation_.empty() && CheckInvariant(next)) Visit(next, depth + 1);
     trace_.pop_back();
   }
 
   void Visit(const State& state, int depth) {
-    if (depth >= depth_ || !broken_.empty()) return;
-    const auto [met, is_new] = seen_.try_emplace(Key(state), depth);
-    if (!is_new && met->second <= depth) return;
-    met->second = depth;
-    for (std::size_t i = 0; i < state.mail.size(); ++i) {
+    if (depth >= depth_ || !violation_.empty()) return;
+    const auto [visited, is_new] = seen_.try_emplace(Key(state), depth);
+    if (!is_new && visited->second <= depth) return;
+    visited->second = depth;
+    for (std::size_t i = 0; i < state.messages.size(); ++i) {
       for (const bool repeated : {false, true}) {
-        if (repeated && state.mail.size() >= kMostMail) continue;
+        if (repeated && state.messages.size() >= kMaxMessages) continue;
         State next = state;
-        const Mail mail = state.mail[i];
-        if (!repeated) next.mail.erase(next.mail.begin() + static_cast<std::ptrdiff_t>(i));
-        const std::string who = "gateway " + std::to_string(mail.gateway);
-        if (mail.question) {
-          Want want = mail.want;
-          if (mutant_ == Mutant::kGrantsBeforeTheShrink) want.part = 0;
-          if (mutant_ == Mutant::kAnyQuestionRenews) want.token = next.token;
-          const Grant grant = next.divider[0].OnWant(DividerClock(next), want);
-          next.mail.push_back({false, mail.gateway, {}, grant});
-          Step(std::move(next), depth, who + " is granted " + std::to_string(grant.part));
+        const Message messages = state.messages[i];
+        if (!repeated) next.messages.erase(next.messages.begin() + static_cast<std::ptrdiff_t>(i));
+        const std::string requester = "gateway " + std::to_string(messages.gateway);
+        if (messages.sequence) {
+          AllocationRequest want = messages.want;
+          if (mutant_ == Mutant::kGrantsBeforeRelease) want.part = 0;
+          if (mutant_ == Mutant::kStaleRequestRenews) want.token = next.token;
+          const AllocationGrant grant = next.divider[0].OnRequest(DividerClock(next), want);
+          next.messages.push_back({false, messages.gateway, {}, grant});
+          Step(std::move(next), depth, requester + " is granted " + std::to_string(grant.part));
         } else {
-          Grant grant = mail.grant;
-          if (mutant_ == Mutant::kGrantOfAnotherLife) grant.who = next.lives[mail.gateway];
-          next.parts[mail.gateway].OnGrant(Clock(next, mail.gateway), grant);
-          Step(std::move(next), depth, who + " hears of " + std::to_string(mail.grant.part));
+          AllocationGrant grant = messages.grant;
+          if (mutant_ == Mutant::kGrantOfOtherIncarnation) grant.requester = next.lives[messages.gateway];
+          next.parts[messages.gateway].OnGrant(Clock(next, messages.gateway), grant);
+          Step(std::move(next), depth, requester + " hears of " + std::to_string(messages.grant.part));
         }
-        if (!broken_.empty()) return;
+        if (!violation_.empty()) return;
       }
     }
-    for (std::size_t g = 0; g < kGateways && state.mail.size() < kMostMail; ++g) {
-      if (state.parts[g].question() >= 3) continue;
+    for (std::size_t g = 0; g < kGateways && state.messages.size() < kMaxMessages; ++g) {
+      if (state.parts[g].sequence() >= 3) continue;
       State next = state;
-      next.parts[g].Divides(next.token);  // the news is quick; a late question still names who divided then
+      next.parts[g].ObserveDivider(
+          next.token);  // the news is quick; a late question still names who divided then
       // All want the whole; what gateway 2 wants is a lie of a million.
-      next.mail.push_back(
+      next.messages.push_back(
           {true, g, next.parts[g].Ask(Clock(next, g), g == 2 ? 1'000'000 : terms_.whole), {}});
       Step(std::move(next), depth, "gateway " + std::to_string(g) + " asks");
-      if (!broken_.empty()) return;
+      if (!violation_.empty()) return;
     }
-    if (!state.mail.empty()) {  // the oldest is lost, so that it holds back no other
+    if (!state.messages.empty()) {  // the oldest is lost, so that it holds back no other
       State next = state;
-      next.mail.erase(next.mail.begin());
+      next.messages.erase(next.messages.begin());
       Step(std::move(next), depth, "a message is lost");
-      if (!broken_.empty()) return;
+      if (!violation_.empty()) return;
     }
     State ticked = state;
     ++ticked.true_time;
     Step(std::move(ticked), depth, "tick");
-    if (state.moves < 2 && broken_.empty()) {
+    if (state.moves < 2 && violation_.empty()) {
       State next = state;
       ++next.moves;
       const Duration before = mutant_ == Mutant::kNewDividerDoesNotWait ? seconds(1000) : seconds(0);
       next.divider[0] = Divider(DividersTerms(), ++next.token, DividerClock(next) - before);
       Step(std::move(next), depth, "another divides");
     }
-    for (std::size_t g = 0; g < kGateways && state.restarts < 1 && broken_.empty(); ++g) {
+    for (std::size_t g = 0; g < kGateways && state.restarts < 1 && violation_.empty(); ++g) {
       State next = state;
       ++next.restarts;
-      if (mutant_ == Mutant::kRestartSpendsOn)
-        next.spent_on[g] = {next.parts[g].Granted(Clock(next, g)), Clock(next, g) + terms_.lease.held()};
+      if (mutant_ == Mutant::kRestartKeepsSpending)
+        next.kept_spending[g] = {next.parts[g].Granted(Clock(next, g)), Clock(next, g) + terms_.lease.held()};
       next.lives[g] = g + 11;
-      next.parts[g] = Part(terms_, g + 11);
+      next.parts[g] = Allocation(terms_, g + 11);
       Step(std::move(next), depth, "gateway " + std::to_string(g) + " restarts");
     }
   }
 
   const Mutant mutant_;
-  const Terms terms_;
+  const BudgetTerms terms_;
   const std::vector<int> rates_;  // of the gateways, then of whoever divides
   const int depth_;
   const bool granted_;
   std::unordered_map<std::string, int> seen_;
   std::vector<std::string> trace_;
-  std::string broken_;
+  std::string violation_;
 };
 
 // Deeper with CURLEWDOOR_MODEL_DEPTH.
@@ -252,12 +255,12 @@
 
 TEST(BudgetModel, MutantsAreFound) {
   const std::pair<Mutant, const char*> mutants[] = {
-      {Mutant::kGrantsBeforeTheShrink, "granting before the shrink is acknowledged"},
+      {Mutant::kGrantsBeforeRelease, "granting before the shrink is acknowledged"},
       {Mutant::kNewDividerDoesNotWait, "a new divider without its wait"},
-      {Mutant::kRestartSpendsOn, "a restart that keeps spending"},
+      {Mutant::kRestartKeepsSpending, "a restart that keeps spending"},
       {Mutant::kNoReserve, "safe parts not set aside"},
-      {Mutant::kAnyQuestionRenews, "a question of before the holding renewed by it"},
-      {Mutant::kGrantOfAnotherLife, "a grant to an earlier life taken by the next one"}};
+      {Mutant::kStaleRequestRenews, "a question of before the holding renewed by it"},
+      {Mutant::kGrantOfOtherIncarnation, "a grant to an earlier life taken by the next one"}};
   for (const auto& [mutant, name] : mutants) {
     std::string trace;
     for (int depth = 4; depth <= 12 && trace.empty(); ++depth)
@@ -267,20 +270,20 @@
   }
 }
 
-TEST(Divide, IsMaxMinFairAndNeverAboveTheWhole) {
-  EXPECT_EQ(Divide(9, {1, 10, 10}), (std::vector<Units>{1, 4, 4}));
-  EXPECT_EQ(Divide(4, {1'000'000, 1, 1}), (std::vector<Units>{2, 1, 1}));
-  EXPECT_EQ(Divide(2, {5, 5, 5}), (std::vector<Units>{1, 1, 0}));
-  EXPECT_EQ(Divide(100, {3, 4}), (std::vector<Units>{3, 4}));
-  EXPECT_EQ(Divide(0, {3, 4}), (std::vector<Units>{0, 0}));
-  EXPECT_EQ(Divide(-5, {3, -4}), (std::vector<Units>{0, 0}));
-  EXPECT_TRUE(Divide(5, {}).empty());
+TEST(DivideFairly, IsMaxMinFairAndNeverAboveTheWhole) {
+  EXPECT_EQ(DivideFairly(9, {1, 10, 10}), (std::vector<Units>{1, 4, 4}));
+  EXPECT_EQ(DivideFairly(4, {1'000'000, 1, 1}), (std::vector<Units>{2, 1, 1}));
+  EXPECT_EQ(DivideFairly(2, {5, 5, 5}), (std::vector<Units>{1, 1, 0}));
+  EXPECT_EQ(DivideFairly(100, {3, 4}), (std::vector<Units>{3, 4}));
+  EXPECT_EQ(DivideFairly(0, {3, 4}), (std::vector<Units>{0, 0}));
+  EXPECT_EQ(DivideFairly(-5, {3, -4}), (std::vector<Units>{0, 0}));
+  EXPECT_TRUE(DivideFairly(5, {}).empty());
   std::mt19937_64 random(3);
   for (int i = 0; i < 20'000; ++i) {
     std::vector<Units> wants(1 + random() % 9);
     for (Units& want : wants) want = static_cast<Units>(random() % 50);
     const auto whole = static_cast<Units>(random() % 120);
-    const auto parts = Divide(whole, wants);
+    const auto parts = DivideFairly(whole, wants);
     Units sum = 0, wanted = 0, least = whole + 1;
     for (std::size_t g = 0; g < wants.size(); ++g) {
       sum += parts[g];
@@ -300,10 +303,10 @@
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       std::mt19937_64 random(seed);
       const auto below = [&](std::uint64_t n) { return random() % n; };
-      Terms terms{200, 50, gateways, {}};
+      BudgetTerms terms{200, 50, gateways, {}};
       terms.lease.lease = std::chrono::milliseconds(1500);
       terms.lease.clock_bound = 0.01;
-      std::vector<Part> parts;
+      std::vector<Allocation> parts;
       std::vector<double> rates;
       for (std::size_t g = 0; g < gateways; ++g) {
         parts.emplace_back(terms, g + 1);
@@ -315,36 +318,37 @@
       };
       double rate_of_divider = 0.99, now = 0;
       Divider divider(terms, 1, at(0, rate_of_divider) - seconds(100));
-      std::uint64_t token = 1, life = 1000;
-      std::vector<std::pair<double, Mail>> mail;
+      std::uint64_t token = 1, incarnation = 1000;
+      std::vector<std::pair<double, Message>> messages;
       Units nearest = 0;
       for (int step = 0; step < 4000; ++step) {
         now += 0.005;
         const std::size_t g = below(gateways);
         if (below(2) == 0)
-          mail.push_back(
+          messages.push_back(
               {now, {true, g, parts[g].Ask(at(now, rates[g]), static_cast<Units>(below(60))), {}}});
-        if (below(500) == 0) parts[g] = Part(terms, ++life);
+        if (below(500) == 0) parts[g] = Allocation(terms, ++incarnation);
         if (below(800) == 0) {
           rate_of_divider = 0.99 + 0.02 * static_cast<double>(below(2));
           divider = Divider(terms, ++token, at(now, rate_of_divider));
         }
-        for (int i = 0; i < 3 && !mail.empty(); ++i) {
-          const std::size_t which = below(3) == 0 ? below(mail.size()) : 0;
-          const Mail letter = mail[which].second;
+        for (int i = 0; i < 3 && !messages.empty(); ++i) {
+          const std::size_t which = below(3) == 0 ? below(messages.size()) : 0;
+          const Message message = messages[which].second;
           if (below(10) != 0)
-            mail.erase(mail.begin() + static_cast<std::ptrdiff_t>(which));  // else it comes again
+            messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(which));  // else it comes again
           if (below(10) == 0) continue;
-          if (letter.question) {
-            mail.push_back(
-                {now, {false, letter.gateway, {}, divider.OnWant(at(now, rate_of_divider), letter.want)}});
+          if (message.sequence) {
+            messages.push_back(
+                {now,
+                 {false, message.gateway, {}, divider.OnRequest(at(now, rate_of_divider), message.want)}});
           } else {
-            parts[letter.gateway].OnGrant(at(now, rates[letter.gateway]), letter.grant);
+            parts[message.gateway].OnGrant(at(now, rates[message.gateway]), message.grant);
           }
         }
-        if (mail.size() > 400) mail.erase(mail.begin());
+        if (messages.size() > 400) messages.erase(messages.begin());
         Units sum = 0;
-        for (std::size_t each = 0; each < gateways; ++each) sum += parts[each].May(at(now, rates[each]));
+        for (std::size_t each = 0; each < gateways; ++each) sum += parts[each].Allowed(at(now, rates[each]));
         nearest = std::max(nearest, sum);
         ASSERT_LE(sum, terms.whole) << "seed " << seed << ", " << gateways << " gateways, " << now << " s";
       }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -27,12 +27,12 @@
   EXPECT_EQ(config->seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(config->memory_mb, 192);
   EXPECT_LE(config->sockets, 256);
-  EXPECT_EQ(config->settings.me, 1);
+  EXPECT_EQ(config->settings.own_index, 1);
   EXPECT_EQ(config->settings.gateways, 2);
   ASSERT_EQ(config->settings.classes.size(), 2u);
   EXPECT_EQ(config->settings.classes[1].name, "checkout");
-  EXPECT_EQ(config->settings.classes[1].repeat, Repeat::kUnsafe);
-  EXPECT_EQ(config->settings.classes[0].aim, std::chrono::milliseconds(400));
+  EXPECT_EQ(config->settings.classes[1].repeat, RepeatSafety::kUnsafe);
+  EXPECT_EQ(config->settings.classes[0].latency_target, std::chrono::milliseconds(400));
   EXPECT_EQ(config->settings.zones, (std::vector<std::string>{"hall_a", "b"}));  // as on the wire
   EXPECT_TRUE(config->settings.limits.cancel);
   EXPECT_EQ(config->settings.plans[0].price, 1.5);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -15,14 +15,14 @@
 
 Snapshot Sample(std::size_t customers = 3) {
   Snapshot snapshot;
-  snapshot.memory.own.room = 12.5;
-  snapshot.memory.own.silent = true;
+  snapshot.memory.local.work_limit = 12.5;
+  snapshot.memory.local.counter_down = true;
   for (std::size_t i = 0; i < customers; ++i) {
-    CustomerMemory customer;
+    CustomerState customer;
     customer.name = "customer " + std::to_string(i);
     customer.plan_name = "team";
     customer.ceiling = 1.5;
-    customer.held = 2;
+    customer.leased = 2;
     snapshot.memory.customers.push_back(customer);
   }
   snapshot.memory.hosts.push_back({HostId{7}, TimePoint(milliseconds(5)), {}});
@@ -50,7 +50,7 @@
   ASSERT_TRUE(read);
   EXPECT_EQ(read->memory.customers.size(), 3u);
   EXPECT_EQ(read->memory.customers[2].name, "customer 2");
-  EXPECT_EQ(read->memory.own.room, 12.5);
+  EXPECT_EQ(read->memory.local.work_limit, 12.5);
   EXPECT_EQ(read->members.version, 41u);
   EXPECT_EQ(read->members.members[0].address, (Address{0x7f000001, 9000}));
   EXPECT_EQ(read->out_by_hand, std::vector{HostId{7}});
@@ -82,7 +82,7 @@
   ASSERT_TRUE(read);
   EXPECT_GT(read->memory.customers.size(), 1000u);
   EXPECT_EQ(read->memory.customers[0].name, "customer 0");  // seen last
-  EXPECT_EQ(read->memory.own.forgot_at, now);
+  EXPECT_EQ(read->memory.local.last_eviction_at, now);
 }
 
 TEST(FrameTest, TornAnywhereTheyComeWhole) {
@@ -185,7 +185,7 @@
   settings.counter.available = false;
   settings.plans = {Plan{"team", 0, 0, 1, 10, 0, 0, 1, 0, 0}};
   settings.gateways = 1;
-  settings.me = 0;
+  settings.own_index = 0;
   return settings;
 }
 
@@ -193,7 +193,7 @@
   explicit Player(std::uint64_t seed) : gateway(CeilingOnly(), seed) {
     HostEntry host;
     host.host = HostId{1};
-    Tell(HostList{ListKind::kFull, 1, {host}});
+    Tell(HostList{HostListKind::kFull, 1, {host}});
   }
   std::vector<Action> Tell(const Event& event) {
     std::vector<Action> actions;
@@ -236,8 +236,8 @@
     old.now += std::chrono::seconds(60);  // the part has filled up
     next.now = old.now;
     EXPECT_EQ(old.Sent(4), 4);
-    const GatewayMemory memory = old.gateway.HandOn();
-    next.gateway.TakeOver(memory);
+    const GatewaySnapshot memory = old.gateway.ExportState();
+    next.gateway.ImportState(memory);
     EXPECT_EQ(old.Sent(20), 0) << "handed on";
     EXPECT_EQ(next.Sent(20), 6) << "what was left";
     next.now += std::chrono::seconds(3);
@@ -249,9 +249,9 @@
   Player old(1);
   old.Sent(1);
   old.now += std::chrono::seconds(60);
-  old.gateway.HandOn();
+  old.gateway.ExportState();
   old.now += std::chrono::seconds(5);
-  old.gateway.ServeAgain(old.now);
+  old.gateway.ResumeServing(old.now);
   EXPECT_EQ(old.Sent(20), 0);
   old.now += std::chrono::seconds(2);
   EXPECT_EQ(old.Sent(20), 2);
@@ -281,7 +281,7 @@
   Gateway gateway(settings, 1);
   TimePoint now{std::chrono::hours(1000)};
   std::vector<Action> actions;
-  HostList list{ListKind::kFull, 1, {}};
+  HostList list{HostListKind::kFull, 1, {}};
   for (std::uint64_t i = 1; i <= 4; ++i)
     list.entries.push_back({HostId{i}, "b", "", 0, HostState::kReady, 1, {}});
   gateway.handle(now, list, actions);
--- a/tests/kit/faulty_core.hpp
+++ b/tests/kit/faulty_core.hpp
@@ -68,8 +68,8 @@
   bool knows_hosts() const override { return inner_.knows_hosts(); }
   std::size_t resting(TimePoint now) override { return inner_.resting(now); }
   std::size_t undecided() const override { return inner_.undecided(); }
-  GatewayMemory HandOn() override { return inner_.HandOn(); }
-  void TakeOver(const GatewayMemory& memory) override { inner_.TakeOver(memory); }
+  GatewaySnapshot HandOn() override { return inner_.HandOn(); }
+  void TakeOver(const GatewaySnapshot& memory) override { inner_.TakeOver(memory); }
   void ServeAgain(TimePoint now) override { inner_.ServeAgain(now); }
 
  private:
--- a/tests/kit/judge_test.cpp
+++ b/tests/kit/judge_test.cpp
@@ -117,7 +117,7 @@
   judge_.Told(kStart, 1, 0, HostState::kDraining);  // another gateway
   Attempt(seconds(5), 0, 1);
   judge_.Told(kStart + seconds(5), 0, 0, HostState::kDraining);
-  judge_.Told(kStart + seconds(6), 0, 0, HostState::kGone);  // does not begin anew
+  judge_.Told(kStart + seconds(6), 0, 0, HostState::kRemoved);  // does not begin anew
   Attempt(milliseconds(5550), 0, 1);
   EXPECT_EQ(Broken(), "");
   Attempt(milliseconds(5551), 0, 1);
@@ -126,7 +126,7 @@
 
 TEST_F(JudgeTest, NodeThatIsBackOrToldToAnEarlierLifeDrainsNoMore) {
   Ask(1);
-  judge_.Told(kStart, 0, 0, HostState::kGone);
+  judge_.Told(kStart, 0, 0, HostState::kRemoved);
   judge_.Told(kStart + seconds(1), 0, 0, HostState::kReady);
   Attempt(seconds(2), 0, 1);
   judge_.Told(kStart + seconds(2), 0, 0, HostState::kDraining);
--- a/tests/kit/scenario_test.cpp
+++ b/tests/kit/scenario_test.cpp
@@ -92,9 +92,9 @@
   const auto config = config::ParseConfig(json.dump(), {}, error);
   ASSERT_TRUE(config) << error;
   EXPECT_EQ(config->settings.gateways, 2);
-  EXPECT_EQ(config->settings.classes.at(1).repeat, Repeat::kUnsafe);
+  EXPECT_EQ(config->settings.classes.at(1).repeat, RepeatSafety::kUnsafe);
   EXPECT_NEAR(config->settings.plans.at(1).ceiling_rate, scenario.plans[1].ceiling_rate, 1e-6);
-  EXPECT_EQ(config->settings.rules.fall_multiple, scenario.fleet.kind.fall_multiple);
+  EXPECT_EQ(config->settings.rules.overload_factor, scenario.fleet.kind.fall_multiple);
 }
 
 // Counts what a stage asks of whoever plays it.
--- a/tests/kit/standin_test.cpp
+++ b/tests/kit/standin_test.cpp
@@ -274,7 +274,7 @@
   DiscoveryTrouble stale;
   stale.stale = true;
   discovery.SetTrouble(kStart, stale);
-  discovery.Change(kStart + seconds(1), {0, HostState::kGone, {}});
+  discovery.Change(kStart + seconds(1), {0, HostState::kRemoved, {}});
   EXPECT_EQ(discovery.Read(kStart + seconds(2), 0, std::nullopt)->nodes.size(), 1u);
   DiscoveryTrouble silent;
   silent.silent = true;
@@ -298,7 +298,7 @@
     read.deadline = milliseconds(1500);
     unlock = read;
     unlock.name = "unlock";
-    unlock.repeat = Repeat::kUnsafe;
+    unlock.repeat = RepeatSafety::kUnsafe;
     return Crowd(
         {plan}, {read, unlock}, habits, 3, kStart, seconds(60), [](double) { return 1.0; }, 1, 9);
   }
