--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -28,55 +28,55 @@
 }
 
 // Gateways, the counter that they share, and a clock.
-class World {
+class SimulatedFleet {
  public:
   struct Gateway : Leases::Port {
-    Gateway(World& world, std::uint64_t seed) : world(world), rng(seed), leases(*this, rng) {}
+    Gateway(SimulatedFleet& fleet, std::uint64_t seed) : fleet(fleet), rng(seed), leases(*this, rng) {}
 
     void Admit(Leases::Claim& claim) override {
       ++answers[claim.id.value];
       admitted.push_back(claim.id.value);
-      world.admitted_at.push_back({world.now, claim.units});
+      fleet.admitted_at.push_back({fleet.now, claim.units});
     }
     void Deny(Leases::Claim& claim, Duration retry_after) override {
       ++answers[claim.id.value];
       refused[claim.id.value] = retry_after;
     }
-    void Add(const std::string& customer, const AddCount& call) override {
+    void Add(const std::string& customer, const AddToCounter& call) override {
       ++calls;
-      told_of[customer] += call.amount;
-      if (world.dead) {
-        world.In(milliseconds(500), [this, call] {
-          leases.OnCount(world.now, {call.name, Outcome::kTimeout, 0, milliseconds(500)});
+      added[customer] += call.amount;
+      if (fleet.counter_down) {
+        fleet.After(milliseconds(500), [this, call] {
+          leases.OnCounterReply(fleet.now, {call.name, Outcome::kTimeout, 0, milliseconds(500)});
         });
         return;
       }
-      world.In(world.one_way, [this, call] {
-        const double total = world.counts[call.name] += call.amount;
-        world.In(world.one_way, [this, call, total] {
-          leases.OnCount(world.now, {call.name, Outcome::kOk, total, 2 * world.one_way});
+      fleet.After(fleet.one_way_delay, [this, call] {
+        const double total = fleet.counts[call.name] += call.amount;
+        fleet.After(fleet.one_way_delay, [this, call, total] {
+          leases.OnCounterReply(fleet.now, {call.name, Outcome::kOk, total, 2 * fleet.one_way_delay});
         });
       });
     }
-    void Start(const SetTimer& timer) override {
-      world.In(timer.delay, [this, timer] { leases.OnTimer(world.now, timer.token); });
+    void StartTimer(const SetTimer& timer) override {
+      fleet.After(timer.delay, [this, timer] { leases.OnTimer(fleet.now, timer.token); });
     }
-    void Note(const Log& line) override { log.push_back(line.text); }
+    void WriteLog(const WriteLogLine& line) override { log.push_back(line.text); }
     Duration ClockOffset(const std::string&) const override { return offset; }
 
     Leases::Claim& Ask(const std::string& customer, const std::shared_ptr<const Plan>& plan,
                        double units = 1) {
       auto claim = std::make_unique<Leases::Claim>();
-      claim->id = RequestId{++world.last_id};
+      claim->id = RequestId{++fleet.last_id};
       claim->units = units;
-      claim->arrived = world.now;
+      claim->arrived = fleet.now;
       Leases::Claim& kept = *claim;
       claims.push_back(std::move(claim));
-      leases.Ask(world.now, kept, customer, plan);
+      leases.Acquire(fleet.now, kept, customer, plan);
       return kept;
     }
 
-    World& world;
+    SimulatedFleet& fleet;
     std::mt19937_64 rng;
     Leases leases;
     Duration offset{};
@@ -85,27 +85,27 @@
     std::map<std::uint64_t, int> answers;
     std::map<std::uint64_t, Duration> refused;
     std::vector<std::uint64_t> admitted;
-    std::map<std::string, double> told_of;
+    std::map<std::string, double> added;
     std::vector<std::string> log;
   };
 
-  explicit World(int gateways, bool whole_windows = true) {
+  explicit SimulatedFleet(int gateways, bool fixed_windows = true) {
     options.gateways = gateways;
     options.wait = milliseconds(20);
-    options.whole_windows = whole_windows;
+    options.fixed_windows = fixed_windows;
     for (int i = 0; i < gateways; ++i) {
-      gateway.push_back(std::make_unique<Gateway>(*this, 100 + i));
-      gateway.back()->leases.Configure(now, options);
+      nodes.push_back(std::make_unique<Gateway>(*this, 100 + i));
+      nodes.back()->leases.Configure(now, options);
     }
   }
 
-  void In(Duration delay, std::function<void()> act) {
-    todo.emplace(std::pair{now + delay, ++order}, std::move(act));
+  void After(Duration delay, std::function<void()> act) {
+    pending.emplace(std::pair{now + delay, ++order}, std::move(act));
   }
 
   void RunTo(TimePoint end) {
-    while (!todo.empty() && todo.begin()->first.first <= end) {
-      auto next = todo.extract(todo.begin());
+    while (!pending.empty() && pending.begin()->first.first <= end) {
+      auto next = pending.extract(pending.begin());
       now = next.key().first;
       next.mapped()();
     }
@@ -118,14 +118,14 @@
     for (std::size_t i = 0; i < rates.size(); ++i) {
       std::exponential_distribution<double> gap(rates[i]);
       for (Duration at = FromSeconds(gap(rng)); at < length; at += FromSeconds(gap(rng)))
-        In(at, [this, i, customer, plan] { gateway[i]->Ask(customer, plan); });
+        After(at, [this, i, customer, plan] { nodes[i]->Ask(customer, plan); });
     }
     RunTo(now + length);
   }
 
   // Units admitted by window, as the clock `ahead` of ours has them, where the first gateway's windows begin.
   std::map<std::int64_t, double> ByWindow(Duration window) const {
-    const std::int64_t edge = edge_at.time_since_epoch().count() % window.count();
+    const std::int64_t edge = window_edge.time_since_epoch().count() % window.count();
     std::map<std::int64_t, double> sums;
     for (const auto& [at, units] : admitted_at)
       sums[(at.time_since_epoch().count() - edge) / window.count()] += units;
@@ -133,7 +133,7 @@
   }
 
   // Finds the window's edge by what a gateway says of a customer's window.
-  void FindEdge(const std::string& customer, const std::shared_ptr<const Plan>& plan) {
+  void FindWindowEdge(const std::string& customer, const std::shared_ptr<const Plan>& plan) {
     Gateway probe(*this, 1);
     Leases::Options alone = options;
     alone.counter = false;
@@ -143,10 +143,10 @@
     for (TimePoint at = start;; at += milliseconds(1)) {
       Leases::Claim claim;
       claim.arrived = at;
-      probe.leases.Ask(at, claim, customer, plan);
-      const std::int64_t window = probe.leases.Look(at)[0].window;
+      probe.leases.Acquire(at, claim, customer, plan);
+      const std::int64_t window = probe.leases.ListCustomers(at)[0].window;
       if (first >= 0 && window != first) {
-        edge_at = at;
+        window_edge = at;
         break;
       }
       first = window;
@@ -160,52 +160,52 @@
     return sum;
   }
 
-  void EachWasAnsweredOnce() const {
-    for (const auto& g : gateway) {
+  void ExpectOneAnswerEach() const {
+    for (const auto& g : nodes) {
       EXPECT_EQ(g->answers.size(), g->claims.size());
       for (const auto& [id, times] : g->answers) EXPECT_EQ(times, 1) << id;
     }
   }
 
   Leases::Options options;
-  TimePoint now{seconds(1000)}, edge_at{};
-  Duration one_way = milliseconds(1);
-  bool dead = false;
+  TimePoint now{seconds(1000)}, window_edge{};
+  Duration one_way_delay = milliseconds(1);
+  bool counter_down = false;
   std::uint64_t last_id = 0, order = 0;
   std::mt19937_64 rng{7};
-  std::map<CountName, double> counts;
-  std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> todo;
+  std::map<CounterName, double> counts;
+  std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> pending;
   std::vector<std::pair<TimePoint, double>> admitted_at;
-  std::vector<std::unique_ptr<Gateway>> gateway;
+  std::vector<std::unique_ptr<Gateway>> nodes;
 };
 
 // Guards the quota: in calm no window of a hot customer gives more, and next to nothing of it is left unused.
 TEST(LeasesAlone, InCalmNoWindowGivesMoreThanTheQuota) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    World world(4);
-    world.rng.seed(seed);
+    SimulatedFleet fleet(4);
+    fleet.rng.seed(seed);
     const auto plan = Quota(100);
-    world.FindEdge("hot", plan);
-    world.RunTo(world.edge_at);
-    world.Load("hot", plan, {200, 100, 50, 10}, seconds(10));
-    world.RunTo(world.now + seconds(1));
-    const auto sums = world.ByWindow(seconds(1));
+    fleet.FindWindowEdge("hot", plan);
+    fleet.RunTo(fleet.window_edge);
+    fleet.Load("hot", plan, {200, 100, 50, 10}, seconds(10));
+    fleet.RunTo(fleet.now + seconds(1));
+    const auto sums = fleet.ByWindow(seconds(1));
     ASSERT_EQ(sums.size(), 10u);
     for (const auto& [window, units] : sums) {
       EXPECT_LE(units, 100) << window;
       EXPECT_GE(units, 90) << window;
     }
-    world.EachWasAnsweredOnce();
-    for (const auto& g : world.gateway) EXPECT_LT(g->calls, 10 * 60);
+    fleet.ExpectOneAnswerEach();
+    for (const auto& g : fleet.nodes) EXPECT_LT(g->calls, 10 * 60);
   }
 }
 
 // The old program's way: any span gives no more than a burst and the rate meanwhile.
 TEST(LeasesAlone, ComingBackEvenlyAnySpanKeepsToBurstAndRate) {
-  World world(4, false);
+  SimulatedFleet fleet(4, false);
   const auto plan = Quota(100);
-  world.Load("hot", plan, {200, 100, 50, 10}, seconds(20));
-  const auto& all = world.admitted_at;
+  fleet.Load("hot", plan, {200, 100, 50, 10}, seconds(20));
+  const auto& all = fleet.admitted_at;
   double worst = 0;
   for (std::size_t i = 0; i < all.size(); ++i) {
     double units = 0;
@@ -215,129 +215,129 @@
     }
   }
   EXPECT_LE(worst, 1.1 * 100);
-  EXPECT_GE(world.Admitted(), 0.9 * 100 * 20);
+  EXPECT_GE(fleet.Admitted(), 0.9 * 100 * 20);
 }
 
 TEST(LeasesAlone, ADeadCounterLeavesTheSharesNearTheQuota) {
-  World world(4);
+  SimulatedFleet fleet(4);
   const auto plan = Quota(100);
-  world.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
-  const std::size_t before = world.admitted_at.size();
-  world.dead = true;
-  world.Load("hot", plan, {200, 100, 50, 50}, seconds(2));  // until all have noticed
-  const std::size_t noticed = world.admitted_at.size();
+  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
+  const std::size_t before = fleet.admitted_at.size();
+  fleet.counter_down = true;
+  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(2));  // until all have noticed
+  const std::size_t noticed = fleet.admitted_at.size();
   EXPECT_LE(noticed - before, 2.5 * 100);
-  world.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
-  const double sum = static_cast<double>(world.admitted_at.size() - noticed);
+  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
+  const double sum = static_cast<double>(fleet.admitted_at.size() - noticed);
   EXPECT_LE(sum, 1.1 * 1000);
   EXPECT_GE(sum, 0.8 * 1000);
-  for (const auto& g : world.gateway) EXPECT_TRUE(g->leases.memory().silent);
-  world.dead = false;
-  world.Load("hot", plan, {200, 100, 50, 50}, seconds(3));
-  for (const auto& g : world.gateway) EXPECT_FALSE(g->leases.memory().silent);
-  const auto at = world.admitted_at.size();
-  world.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
-  EXPECT_LE(world.admitted_at.size() - at, 1.1 * 1000) << "and exact again";
-  world.RunTo(world.now + seconds(1));
-  world.EachWasAnsweredOnce();
+  for (const auto& g : fleet.nodes) EXPECT_TRUE(g->leases.state().counter_down);
+  fleet.counter_down = false;
+  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(3));
+  for (const auto& g : fleet.nodes) EXPECT_FALSE(g->leases.state().counter_down);
+  const auto at = fleet.admitted_at.size();
+  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
+  EXPECT_LE(fleet.admitted_at.size() - at, 1.1 * 1000) << "and exact again";
+  fleet.RunTo(fleet.now + seconds(1));
+  fleet.ExpectOneAnswerEach();
 }
 
 TEST(LeasesAlone, WithoutACounterAnUnseenCustomerGetsOneOverTheSet) {
-  World world(5);
-  world.options.counter = false;
-  for (auto& g : world.gateway) g->leases.Configure(world.now, world.options);
+  SimulatedFleet fleet(5);
+  fleet.options.counter = false;
+  for (auto& g : fleet.nodes) g->leases.Configure(fleet.now, fleet.options);
   const auto plan = Quota(100);
-  world.FindEdge("hot", plan);
-  world.RunTo(world.edge_at);
-  world.Load("hot", plan, {400, 400, 400, 400, 400}, seconds(1));
-  EXPECT_NEAR(world.Admitted(), 100, 10);
-  EXPECT_EQ(world.gateway[0]->calls, 0);
-  world.options.gateways = 2;  // the others left
-  for (auto& g : world.gateway) g->leases.Configure(world.now, world.options);
-  world.gateway[0]->Ask("unseen", plan);
-  EXPECT_DOUBLE_EQ(world.gateway[0]->leases.Look(world.now)[0].share, 0.5);
+  fleet.FindWindowEdge("hot", plan);
+  fleet.RunTo(fleet.window_edge);
+  fleet.Load("hot", plan, {400, 400, 400, 400, 400}, seconds(1));
+  EXPECT_NEAR(fleet.Admitted(), 100, 10);
+  EXPECT_EQ(fleet.nodes[0]->calls, 0);
+  fleet.options.gateways = 2;  // the others left
+  for (auto& g : fleet.nodes) g->leases.Configure(fleet.now, fleet.options);
+  fleet.nodes[0]->Ask("unseen", plan);
+  EXPECT_DOUBLE_EQ(fleet.nodes[0]->leases.ListCustomers(fleet.now)[0].share, 0.5);
 }
 
 TEST(LeasesAlone, ARefusalTellsWhenToComeBack) {
-  World world(2);
+  SimulatedFleet fleet(2);
   const auto plan = Quota(10, seconds(4));
-  world.FindEdge("hot", plan);
-  world.RunTo(world.edge_at + milliseconds(500));
+  fleet.FindWindowEdge("hot", plan);
+  fleet.RunTo(fleet.window_edge + milliseconds(500));
   for (int i = 0; i < 15; ++i) {
-    world.gateway[0]->Ask("hot", plan);
-    world.RunTo(world.now + milliseconds(10));
+    fleet.nodes[0]->Ask("hot", plan);
+    fleet.RunTo(fleet.now + milliseconds(10));
   }
-  EXPECT_EQ(world.gateway[0]->admitted.size(), 10u);
-  ASSERT_EQ(world.gateway[0]->refused.size(), 5u);
-  for (const auto& [id, wait] : world.gateway[0]->refused) {
+  EXPECT_EQ(fleet.nodes[0]->admitted.size(), 10u);
+  ASSERT_EQ(fleet.nodes[0]->refused.size(), 5u);
+  for (const auto& [id, wait] : fleet.nodes[0]->refused) {
     EXPECT_GT(wait, seconds(3));
     EXPECT_LE(wait, milliseconds(3500));  // until the edge
   }
-  const auto last = world.gateway[0]->refused.rbegin()->second;
-  world.RunTo(world.now + last);
-  world.gateway[0]->Ask("hot", plan);
-  world.RunTo(world.now + milliseconds(10));
-  EXPECT_EQ(world.gateway[0]->admitted.size(), 11u);
-  EXPECT_EQ(world.gateway[0]->refused.size(), 5u);
-  world.gateway[0]->Ask("hot", plan, 11);
-  EXPECT_EQ(world.gateway[0]->refused.rbegin()->second, Duration::zero()) << "it will never fit";
+  const auto last = fleet.nodes[0]->refused.rbegin()->second;
+  fleet.RunTo(fleet.now + last);
+  fleet.nodes[0]->Ask("hot", plan);
+  fleet.RunTo(fleet.now + milliseconds(10));
+  EXPECT_EQ(fleet.nodes[0]->admitted.size(), 11u);
+  EXPECT_EQ(fleet.nodes[0]->refused.size(), 5u);
+  fleet.nodes[0]->Ask("hot", plan, 11);
+  EXPECT_EQ(fleet.nodes[0]->refused.rbegin()->second, Duration::zero()) << "it will never fit";
 }
 
 TEST(LeasesAlone, ReturnedUnitsCanBeSpentAgain) {
-  World world(2);
+  SimulatedFleet fleet(2);
   const auto plan = Quota(10, seconds(4));
-  world.FindEdge("hot", plan);
-  world.RunTo(world.edge_at + milliseconds(500));
-  auto& g = *world.gateway[0];
+  fleet.FindWindowEdge("hot", plan);
+  fleet.RunTo(fleet.window_edge + milliseconds(500));
+  auto& g = *fleet.nodes[0];
   std::vector<Leases::Claim*> claims;
   for (int i = 0; i < 12; ++i) {
     claims.push_back(&g.Ask("hot", plan));
-    world.RunTo(world.now + milliseconds(10));
+    fleet.RunTo(fleet.now + milliseconds(10));
   }
   EXPECT_EQ(g.admitted.size(), 10u);
-  for (Leases::Claim* claim : claims) g.leases.Return(world.now, *claim);  // refused ones give nothing
-  for (Leases::Claim* claim : claims) g.leases.Return(world.now, *claim);  // and nobody gives twice
-  EXPECT_DOUBLE_EQ(g.leases.Look(world.now)[0].held, 10);
+  for (Leases::Claim* claim : claims) g.leases.Release(fleet.now, *claim);  // refused ones give nothing
+  for (Leases::Claim* claim : claims) g.leases.Release(fleet.now, *claim);  // and nobody gives twice
+  EXPECT_DOUBLE_EQ(g.leases.ListCustomers(fleet.now)[0].leased, 10);
   for (int i = 0; i < 12; ++i) g.Ask("hot", plan);
   EXPECT_EQ(g.admitted.size(), 20u);
   // What comes back behind the window's edge was of the old window's quota.
-  world.RunTo(world.now + seconds(4));
+  fleet.RunTo(fleet.now + seconds(4));
   g.Ask("hot", plan);
-  world.RunTo(world.now + milliseconds(10));
-  const double held = g.leases.Look(world.now)[0].held;
-  g.leases.Return(world.now, *g.claims[g.claims.size() - 5]);
-  EXPECT_DOUBLE_EQ(g.leases.Look(world.now)[0].held, held);
+  fleet.RunTo(fleet.now + milliseconds(10));
+  const double held = g.leases.ListCustomers(fleet.now)[0].leased;
+  g.leases.Release(fleet.now, *g.claims[g.claims.size() - 5]);
+  EXPECT_DOUBLE_EQ(g.leases.ListCustomers(fleet.now)[0].leased, held);
 }
 
 TEST(LeasesAlone, AClientThatLeftWhileWaitingGetsNoAnswer) {
-  World world(2);
+  SimulatedFleet fleet(2);
   const auto plan = Quota(10);
-  auto& g = *world.gateway[0];
+  auto& g = *fleet.nodes[0];
   Leases::Claim& gone = g.Ask("hot", plan);
   Leases::Claim& stays = g.Ask("hot", plan);
   EXPECT_TRUE(g.answers.empty()) << "both wait for the counter";
-  g.leases.OnGone(gone);
-  world.RunTo(world.now + milliseconds(50));
+  g.leases.Cancel(gone);
+  fleet.RunTo(fleet.now + milliseconds(50));
   EXPECT_EQ(g.answers.count(gone.id.value), 0u);
   EXPECT_EQ(g.answers[stays.id.value], 1);
-  EXPECT_DOUBLE_EQ(g.told_of["hot"], 1) << "the call was under way before the second came";
+  EXPECT_DOUBLE_EQ(g.added["hot"], 1) << "the call was under way before the second came";
 }
 
 TEST(LeasesAlone, AChangedPlanKeepsWhatWasSpent) {
   for (const double quota : {5.0, 15.0}) {
-    World world(2);
+    SimulatedFleet fleet(2);
     const auto plan = Quota(10, seconds(4)), changed = Quota(quota, seconds(4));
-    world.FindEdge("hot", plan);
-    world.RunTo(world.edge_at + milliseconds(100));
-    auto& g = *world.gateway[0];
+    fleet.FindWindowEdge("hot", plan);
+    fleet.RunTo(fleet.window_edge + milliseconds(100));
+    auto& g = *fleet.nodes[0];
     for (int i = 0; i < 8; ++i) {
       g.Ask("hot", plan);
-      world.RunTo(world.now + milliseconds(10));
+      fleet.RunTo(fleet.now + milliseconds(10));
     }
     EXPECT_EQ(g.admitted.size(), 8u);
     for (int i = 0; i < 20; ++i) {
       g.Ask("hot", changed);
-      world.RunTo(world.now + milliseconds(10));
+      fleet.RunTo(fleet.now + milliseconds(10));
     }
     EXPECT_LE(g.admitted.size(), std::max(10.0, quota)) << "a lease already held may still be spent";
     EXPECT_GE(g.admitted.size(), std::max(8.0, quota));
@@ -346,22 +346,22 @@
 
 // The holder's clock says which window it is: gateways whose own clocks differ share one count by it.
 TEST(LeasesAlone, AnOffsetPutsWrongClocksRight) {
-  World world(2);
+  SimulatedFleet fleet(2);
   const auto plan = Quota(100);
-  auto& ahead = *world.gateway[1];
+  auto& ahead = *fleet.nodes[1];
   ahead.offset = -milliseconds(700);
   int same = 0;
   for (int i = 0; i < 100; ++i) {
-    world.RunTo(world.now + milliseconds(37));
+    fleet.RunTo(fleet.now + milliseconds(37));
     Leases::Claim a, b;
-    a.arrived = world.now;
-    b.arrived = world.now + milliseconds(700);
-    world.gateway[0]->leases.Ask(world.now, a, "hot", plan);
-    ahead.leases.Ask(world.now + milliseconds(700), b, "hot", plan);
-    same += world.gateway[0]->leases.Look(world.now)[0].window ==
-            ahead.leases.Look(world.now + milliseconds(700))[0].window;
-    world.gateway[0]->leases.OnGone(a);
-    ahead.leases.OnGone(b);
+    a.arrived = fleet.now;
+    b.arrived = fleet.now + milliseconds(700);
+    fleet.nodes[0]->leases.Acquire(fleet.now, a, "hot", plan);
+    ahead.leases.Acquire(fleet.now + milliseconds(700), b, "hot", plan);
+    same += fleet.nodes[0]->leases.ListCustomers(fleet.now)[0].window ==
+            ahead.leases.ListCustomers(fleet.now + milliseconds(700))[0].window;
+    fleet.nodes[0]->leases.Cancel(a);
+    ahead.leases.Cancel(b);
   }
   EXPECT_EQ(same, 100);
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -210,7 +210,7 @@
   EXPECT_EQ(member.entry.zone, "a");
   EXPECT_EQ(member.entry.kind, "m2");
   EXPECT_EQ(member.entry.cell, 3);
-  EXPECT_EQ(member.entry.size_hint, 1.5);
+  EXPECT_EQ(member.entry.capacity_hint, 1.5);
   EXPECT_EQ(member.entry.started.time_since_epoch(), milliseconds(1700000000123));  // Unix time
   EXPECT_EQ(member.address.ToText(), "127.1.0.18:9000");
 }
@@ -228,7 +228,7 @@
       R"({"rev":42,"all":false,"targets":[{"uid":"x","state":"left"},{"uid":"y","state":"leaving","endpoint":"127.0.0.1:1"}]})",
       error);
   ASSERT_TRUE(list) << error;
-  EXPECT_EQ(list->members[0].entry.state, HostState::kGone);
+  EXPECT_EQ(list->members[0].entry.state, HostState::kRemoved);
   EXPECT_EQ(list->members[1].entry.state, HostState::kDraining);
 }
 
@@ -256,7 +256,7 @@
   Requests() {
     settings_.classes.resize(2);
     settings_.classes[0].name = "read";
-    settings_.classes[0].repeat = Repeat::kSafe;
+    settings_.classes[0].repeat = RepeatSafety::kSafe;
     settings_.classes[1].name = "checkout";
     settings_.gateways = 4;
     settings_.quota.largest_request = 4;
--- a/tests/presence_test.cpp
+++ b/tests/presence_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <set>
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -30,55 +30,55 @@
         if (dead.contains(g)) continue;
         Presence& gateway = gateways_[static_cast<std::size_t>(g)];
         if (now_.time_since_epoch() % milliseconds(50) == Duration::zero())
-          for (int i = 0; i < arrivals; ++i) gateway.NoteArrival(now_);
+          for (int i = 0; i < arrivals; ++i) gateway.RecordArrival(now_);
         const auto call = gateway.Poll(now_);
         if (!call) continue;
         ++calls_;
         double& count = halves_[second_half.contains(g) ? 1 : 0][call->name.value];
         count += call->amount;
-        gateway.Answered(now_, call->name, lost_ ? std::nullopt : std::optional(count));
+        gateway.OnReply(now_, call->name, replies_lost_ ? std::nullopt : std::optional(count));
       }
     }
   }
-  double Part(int g) const { return gateways_[static_cast<std::size_t>(g)].part(); }
+  double VisibleFraction(int g) const { return gateways_[static_cast<std::size_t>(g)].visible_fraction(); }
 
   std::vector<Presence> gateways_;
   std::map<std::uint64_t, double> halves_[2];
   TimePoint now_ = kStart;
   int calls_ = 0;
-  bool lost_ = false;
+  bool replies_lost_ = false;
 };
 
 TEST_F(PresenceTest, AllPresentIsTheWholeAndCostsTwoCallsASlot) {
   Run(seconds(10));
-  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(Part(g), 1);
+  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(VisibleFraction(g), 1);
   EXPECT_EQ(calls_, kGateways * 2 * 20);
 }
 
 TEST_F(PresenceTest, EachHalfOfASplitGetsItsPartWithinThreeSlotsAndTheWholeBackAfterIt) {
   Run(seconds(10));
   Run(3 * kSlot, {3});
-  EXPECT_EQ(Part(0), 0.75);
-  EXPECT_EQ(Part(3), 0.25);
-  EXPECT_EQ(gateways_[0].unseen_for(), 3 * kSlot);
+  EXPECT_EQ(VisibleFraction(0), 0.75);
+  EXPECT_EQ(VisibleFraction(3), 0.25);
+  EXPECT_EQ(gateways_[0].undetected_for(), 3 * kSlot);
   Run(seconds(30), {3});  // longer than what is remembered
-  EXPECT_EQ(Part(0), 0.75);
-  EXPECT_EQ(Part(3), 0.25);
+  EXPECT_EQ(VisibleFraction(0), 0.75);
+  EXPECT_EQ(VisibleFraction(3), 0.25);
   Run(3 * kSlot);
-  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(Part(g), 1);
+  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(VisibleFraction(g), 1);
 }
 
 // Their clients come to those that live: from then on nothing is held back.
 TEST_F(PresenceTest, DeadGatewaysAreTakenForASplitOnlyUntilTheirClientsHaveMoved) {
   Run(seconds(10));
   Run(seconds(2), {}, {3});
-  EXPECT_EQ(Part(0), 0.75);
+  EXPECT_EQ(VisibleFraction(0), 0.75);
   Run(seconds(5), {}, {3}, 7);
-  EXPECT_EQ(Part(0), 1);
+  EXPECT_EQ(VisibleFraction(0), 1);
   Run(seconds(5), {}, {3}, 7);
-  EXPECT_EQ(Part(0), 1);
+  EXPECT_EQ(VisibleFraction(0), 1);
   Run(seconds(5));
-  EXPECT_EQ(Part(0), 1);
+  EXPECT_EQ(VisibleFraction(0), 1);
 }
 
 // What comes by chance is no client of a dead gateway (counter table, split to the end, seed 4: 17% beyond
@@ -88,7 +88,7 @@
   for (int i = 0; i < 100; ++i) {
     Run(2 * kSlot, {2, 3}, {}, i % 2 == 0 ? 7 : 4);
     if (i > 3) {
-      ASSERT_EQ(Part(0), 0.5) << i;
+      ASSERT_EQ(VisibleFraction(0), 0.5) << i;
     }
   }
 }
@@ -98,19 +98,19 @@
   halves_[0].clear();
   for (int i = 0; i < 10; ++i) {
     Run(kSlot);
-    for (int g = 0; g < kGateways; ++g) EXPECT_EQ(Part(g), 1);
+    for (int g = 0; g < kGateways; ++g) EXPECT_EQ(VisibleFraction(g), 1);
   }
 }
 
 TEST_F(PresenceTest, SilenceChangesNothing) {
   Run(seconds(10));
-  lost_ = true;
+  replies_lost_ = true;
   Run(seconds(10));
-  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(Part(g), 1);
-  lost_ = false;
+  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(VisibleFraction(g), 1);
+  replies_lost_ = false;
   Run(seconds(10));
-  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(Part(g), 1);
+  for (int g = 0; g < kGateways; ++g) EXPECT_EQ(VisibleFraction(g), 1);
 }
 
 }  // namespace
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/tests/quota/model_check_test.cpp
+++ b/tests/quota/model_check_test.cpp
@@ -24,7 +24,7 @@
 #include "quota/quota_plan.hpp"
 #include "util/hash.hpp"
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -37,13 +37,13 @@
 constexpr double kMostShare = 4;  // of it, what a gateway may let in besides while the count fails
 constexpr Duration kWindow = seconds(1), kTick = kWindow / 2, kWait = milliseconds(1);
 
-enum class Fault {
+enum class Mutation {
   kNone,
-  kFromZero,     // a holder that begins counts at once, from nothing
-  kKeepBoth,     // a count that moves stays where it was, and begins at once where it goes
-  kPastTheEdge,  // a lease whose answer comes after its window's edge is held in the next window
-  kAlone,        // a gateway that is cut off takes its own use for all there is
-  kNotReserved,  // those that aren't heard are forgotten at once
+  kFromZero,             // a holder that begins counts at once, from nothing
+  kKeepBothCounts,       // a count that moves stays where it was, and begins at once where it goes
+  kLeaseOutlivesWindow,  // a lease whose answer comes after its window's edge is held in the next window
+  kCountsSelfOnly,       // a gateway that is cut off takes its own use for all there is
+  kNotReserved,          // those that aren't heard are forgotten at once
 };
 
 struct Limits {
@@ -61,8 +61,8 @@
   kLose,
   kCut,
   kHeal,
-  kTell,  // gateway
-  kTick_,
+  kNotify,  // gateway
+  kAdvanceTime,
   kCrash,
   kRestart,
   kMove,
@@ -72,18 +72,18 @@
                                   "heal",  "tell",     "tick",   "crash",  "restart", "move"};
 struct Action {
   Kind kind = kFlood;
-  std::uint8_t who = 0;
+  std::uint8_t target = 0;
 };
-constexpr bool OfGateway(Kind kind) { return kind <= kTell; }
+constexpr bool OfGateway(Kind kind) { return kind <= kNotify; }
 
 template <typename... Values>
-void Put(std::string& key, const Values&... values) {
+void AppendBytes(std::string& key, const Values&... values) {
   (key.append(reinterpret_cast<const char*>(&values), sizeof values), ...);
 }
 
 class Model {
  public:
-  Model(Fault fault, const Limits& limits) : fault_(fault), limits_(limits) {
+  Model(Mutation mutation, const Limits& limits) : mutation_(mutation), limits_(limits) {
     Plan plan;
     plan.name = "anna";
     plan.rate = kQuota / Seconds(kWindow);
@@ -93,12 +93,12 @@
     now_ = start_;
     for (std::size_t i = 0; i < kGateways; ++i) gateways_[i] = std::make_unique<Gateway>(*this, i);
     for (auto& holder : holders_) holder.counts.Begin(now_ - seconds(10));
-    Look();
-    window_.clean = true;
+    UpdateReachability();
+    window_.undisturbed = true;
   }
 
-  bool Do(Action action) { return Act(action); }  // false: it can't happen now
-  const std::string& wrong() const { return wrong_; }
+  bool Do(Action action) { return ApplyStep(action); }  // false: it can't happen now
+  const std::string& violation() const { return violation_; }
   double most() const { return most_; }
 
   // All that the future rests on. Gateways are told apart by what they know and have done only.
@@ -107,20 +107,20 @@
     for (std::size_t i = 0; i < kGateways; ++i) {
       std::string key;
       const Gateway& g = *gateways_[i];
-      if (const Leases::Customer* c = g.found)
-        Put(key, c->window, c->held, c->level, c->total, c->own_added, c->owed, c->guessed, c->lease,
-            c->own_use, c->all_use, c->own_spent, c->calling, c->given_up, c->call_window, c->call_lease,
-            c->call_owed, c->waiting.size(), c->leased_window, c->leased_at, c->use_at, c->refilled,
-            c->failed);
-      const CountingMemory& known = g.leases.memory();
-      Put(key, known.silent, known.call_failures, known.admitted, known.counted, known.next_test, g.cut,
-          g.told, g.moved, g.call.has_value());
+      if (const Leases::Customer* c = g.customer)
+        AppendBytes(key, c->window, c->leased, c->level, c->total, c->local_added, c->unposted,
+                    c->assumed_use, c->lease_size, c->local_use, c->total_use, c->own_spent, c->calling,
+                    c->given_up, c->call_window, c->call_lease, c->call_unposted, c->waiting.size(),
+                    c->lease_window, c->lease_at, c->usage_at, c->refilled_at, c->failed_since);
+      const QuotaState& known = g.leases.state();
+      AppendBytes(key, known.counter_down, known.failed_calls, known.mean_admitted, known.mean_counted,
+                  known.next_probe_at, g.cut, g.cut_known, g.knows_holder, g.call.has_value());
       if (g.call)
-        Put(key, g.call->add.name.value, g.call->add.amount, g.call->at, g.call->arrived,
-            g.call->total.value_or(-1), g.call->to);
+        AppendBytes(key, g.call->add.name.value, g.call->add.amount, g.call->at, g.call->arrived,
+                    g.call->total.value_or(-1), g.call->to);
       for (const Holder& holder : holders_) {
-        for (const auto& [who, at, name, amount] : holder.adds)
-          if (who == i) Put(key, at, name, amount);
+        for (const auto& [target, at, name, amount] : holder.adds)
+          if (target == i) AppendBytes(key, at, name, amount);
         key += '|';
       }
       each.push_back(std::move(key));
@@ -128,15 +128,16 @@
     std::sort(each.begin(), each.end());
     std::string key;
     for (const auto& one : each) key += one;
-    for (const Holder& holder : holders_) Put(key, holder.up, holder.counts.begun(), holder.begun);
-    Put(key, now_, at_, floods_, ticks_, crashes_, moves_, cuts_, late_, window_.units, window_.clean,
-        after_.units, after_.clean);
+    for (const Holder& holder : holders_)
+      AppendBytes(key, holder.up, holder.counts.started(), holder.started);
+    AppendBytes(key, now_, holder_index_, floods_, ticks_, crashes_, moves_, cuts_, late_, window_.units,
+                window_.undisturbed, after_.units, after_.undisturbed);
     return key;
   }
 
  private:
   struct Call {
-    AddCount add;
+    AddToCounter add;
     TimePoint at;
     bool arrived = false;
     std::optional<double> total{};
@@ -145,56 +146,57 @@
   struct Gateway : Leases::Port {
     Gateway(Model& model, std::size_t number)
         : model(model), number(number), rng(number), leases(*this, rng) {
-      Set(static_cast<int>(kGateways));
+      SetGatewayCount(static_cast<int>(kGateways));
     }
-    void Set(int gateways) {
-      Leases::Options options = LeaseOptions(gateways, kWait, number + 1, 20);
+    void SetGatewayCount(int gateways) {
+      Leases::Options options = MakeLeaseOptions(gateways, kWait, number + 1, 20);
       options.largest_request = kUnits;
-      if (gateways == 1) options.share_prior = options.least_use_tight = 0;
+      if (gateways == 1) options.share_prior = options.min_use_no_headroom = 0;
       leases.Configure(model.now_, options);
     }
-    bool Waits() const { return found != nullptr && !found->waiting.empty(); }
-    void Admit(Leases::Claim&) override { model.LetIn(); }
+    bool HasWaiting() const { return customer != nullptr && !customer->waiting.empty(); }
+    void Admit(Leases::Claim&) override { model.RecordAdmission(); }
     void Deny(Leases::Claim&, Duration) override {}
-    void Add(const std::string&, const AddCount& add) override {
-      call = Call{add, model.now_, false, {}, moved ? model.at_ : from};
+    void Add(const std::string&, const AddToCounter& add) override {
+      call = Call{add, model.now_, false, {}, knows_holder ? model.holder_index_ : from};
     }
-    void Start(const SetTimer& timer) override { token = timer.token; }
-    void Note(const Log&) override {}
+    void StartTimer(const SetTimer& timer) override { token = timer.token; }
+    void WriteLog(const WriteLogLine&) override {}
     Model& model;
     const std::size_t number;
     std::mt19937_64 rng;
     Leases leases;
-    Leases::Customer* found = nullptr;
+    Leases::Customer* customer = nullptr;
     std::deque<Leases::Claim> claims;
     std::optional<Call> call;
     TimerToken token;
-    std::size_t from = 0;           // the holder it knows of ...
-    bool moved = true;              // ... and whether that is the present one
-    bool cut = false, told = true;  // told: the holder knows whether it is cut
+    std::size_t from = 0;                // the holder it knows of ...
+    bool knows_holder = true;            // ... and whether that is the present one
+    bool cut = false, cut_known = true;  // told: the holder knows whether it is cut
   };
   struct Holder {
-    HeldCounts counts;
+    QuotaCounters counts;
     bool up = true;
-    TimePoint begun{};
+    TimePoint started{};
     std::vector<std::tuple<std::size_t, TimePoint, std::uint64_t, double>> adds;
   };
   struct Window {
     double units = 0;
-    bool clean = true;
+    bool undisturbed = true;
   };
 
-  void LetIn() {
+  void RecordAdmission() {
     window_.units += kUnits;
     most_ = std::max(most_, window_.units);
-    if (window_.clean && window_.units > kQuota + 1e-6) wrong_ = "more than the quota of a calm window";
+    if (window_.undisturbed && window_.units > kQuota + 1e-6)
+      violation_ = "more than the quota of a calm window";
     if (window_.units > kQuota + (kGateways - 1) * kMostShare + 1e-6)
-      wrong_ = "more than the quota and the shares of a window";
+      violation_ = "more than the quota and the shares of a window";
   }
 
-  std::optional<double> AddAt(std::size_t holder, std::size_t gateway, const AddCount& add) {
+  std::optional<double> AddAt(std::size_t holder, std::size_t gateway, const AddToCounter& add) {
     Holder& h = holders_[holder];
-    if (holder != at_ && fault_ != Fault::kKeepBoth) return std::nullopt;
+    if (holder != holder_index_ && mutation_ != Mutation::kKeepBothCounts) return std::nullopt;
     const auto total = h.counts.Add(
         now_, {"anna", "g" + std::to_string(gateway), add.name, add.lifetime, add.amount, kQuota});
     if (total) h.adds.emplace_back(gateway, now_, add.name.value, add.amount);
@@ -207,53 +209,55 @@
   }
   void Answer(Gateway& g) {
     const Call call = *std::exchange(g.call, std::nullopt);
-    const auto window = g.found->call_window;
-    const double lease = g.found->call_lease;
+    const auto window = g.customer->call_window;
+    const double lease = g.customer->call_lease;
     const Outcome outcome = call.total ? Outcome::kOk : Outcome::kConnectFailed;
-    g.leases.OnCount(now_, {call.add.name, outcome, call.total.value_or(0), {}});
-    if (fault_ == Fault::kPastTheEdge && call.total && g.found->window != window) g.found->held += lease;
+    g.leases.OnCounterReply(now_, {call.add.name, outcome, call.total.value_or(0), {}});
+    if (mutation_ == Mutation::kLeaseOutlivesWindow && call.total && g.customer->window != window)
+      g.customer->leased += lease;
   }
-  void End(Gateway& g) {
+  void TimeOut(Gateway& g) {
     const Call call = *std::exchange(g.call, std::nullopt);
-    g.leases.OnCount(now_, {call.add.name, Outcome::kTimeout, 0, {}});
+    g.leases.OnCounterReply(now_, {call.add.name, Outcome::kTimeout, 0, {}});
   }
-  bool Waits() const {
-    return std::any_of(gateways_.begin(), gateways_.end(), [](const auto& g) { return g->Waits(); });
+  bool HasWaiting() const {
+    return std::any_of(gateways_.begin(), gateways_.end(), [](const auto& g) { return g->HasWaiting(); });
   }
   bool Reaches(const Gateway& g) const { return !g.cut && holders_[g.call->to].up; }
-  void Troubled() { window_.clean = after_.clean = false; }
+  void MarkDisturbed() { window_.undisturbed = after_.undisturbed = false; }
 
-  void Look() {
-    std::set<std::string> away, all;
+  void UpdateReachability() {
+    std::set<std::string> unreachable, all;
     for (const auto& g : gateways_) {
       all.insert("g" + std::to_string(g->number));
-      if (g->cut && g->told && fault_ != Fault::kNotReserved) away.insert("g" + std::to_string(g->number));
+      if (g->cut && g->cut_known && mutation_ != Mutation::kNotReserved)
+        unreachable.insert("g" + std::to_string(g->number));
     }
-    if (fault_ == Fault::kNotReserved) all.clear();
-    for (auto& holder : holders_) holder.counts.SetAway(now_, away, all);
+    if (mutation_ == Mutation::kNotReserved) all.clear();
+    for (auto& holder : holders_) holder.counts.SetUnreachable(now_, unreachable, all);
   }
   void Begin(Holder& holder) {
     holder.adds.clear();
-    holder.counts = HeldCounts();
-    holder.begun = now_;
-    const bool at_once = fault_ == Fault::kFromZero || fault_ == Fault::kKeepBoth;
+    holder.counts = QuotaCounters();
+    holder.started = now_;
+    const bool at_once = mutation_ == Mutation::kFromZero || mutation_ == Mutation::kKeepBothCounts;
     holder.counts.Begin(at_once ? now_ - seconds(10) : now_);
-    Look();
+    UpdateReachability();
   }
 
-  bool Act(Action action) {
+  bool ApplyStep(Action action) {
     const Kind kind = action.kind;
-    Gateway& g = *gateways_[action.who % kGateways];
+    Gateway& g = *gateways_[action.target % kGateways];
     switch (kind) {
       case kFlood:
-        if (floods_ == limits_.floods || g.Waits()) return false;
+        if (floods_ == limits_.floods || g.HasWaiting()) return false;
         ++floods_;
         for (int i = 0; i < kClaims; ++i) {
           Leases::Claim& claim = g.claims.emplace_back();
           claim.units = kUnits;
           claim.arrived = now_;
-          g.leases.Ask(now_, claim, "anna", plan_);
-          g.found = claim.customer;
+          g.leases.Acquire(now_, claim, "anna", plan_);
+          g.customer = claim.customer;
         }
         return true;
       case kExchange: {
@@ -273,79 +277,79 @@
         Answer(g);
         return true;
       case kGiveUp:  // the time is up for all that wait
-        if (late_ == limits_.late || !Waits()) return false;
+        if (late_ == limits_.late || !HasWaiting()) return false;
         ++late_;
-        Troubled();
+        MarkDisturbed();
         now_ += kWait;
         for (auto& each : gateways_)
-          if (each->Waits()) each->leases.OnTimer(now_, each->token);
+          if (each->HasWaiting()) each->leases.OnTimer(now_, each->token);
         return true;
       case kLose:
         if (!g.call || Reaches(g)) return false;
-        End(g);
+        TimeOut(g);
         return true;
       case kCut:
         if (cuts_ == limits_.cuts || g.cut) return false;
         ++cuts_;
         g.cut = true;
-        g.told = false;
-        Troubled();
-        if (fault_ == Fault::kAlone) g.Set(1);
+        g.cut_known = false;
+        MarkDisturbed();
+        if (mutation_ == Mutation::kCountsSelfOnly) g.SetGatewayCount(1);
         return true;
       case kHeal:
         if (!g.cut) return false;
         g.cut = false;
-        g.told = true;
-        Troubled();
-        g.Set(static_cast<int>(kGateways));
-        Look();
+        g.cut_known = true;
+        MarkDisturbed();
+        g.SetGatewayCount(static_cast<int>(kGateways));
+        UpdateReachability();
         return true;
-      case kTell:  // the holder that it is cut off, or it where the count stands
-        if (!g.moved) {
-          g.moved = true;
+      case kNotify:  // the holder that it is cut off, or it where the count stands
+        if (!g.knows_holder) {
+          g.knows_holder = true;
           return true;
         }
-        if (!g.cut || g.told) return false;
-        g.told = true;
-        Look();
+        if (!g.cut || g.cut_known) return false;
+        g.cut_known = true;
+        UpdateReachability();
         return true;
-      case kTick_:
-        if (ticks_ == limits_.ticks || (Waits() && ticks_ % 2 == 0)) return false;
+      case kAdvanceTime:
+        if (ticks_ == limits_.ticks || (HasWaiting() && ticks_ % 2 == 0)) return false;
         now_ = start_ + ++ticks_ * kTick;
         for (auto& each : gateways_) {
           // What waits over an edge came just before it; no call is out for longer than a window.
-          if (each->Waits())
-            for (Leases::Claim* claim : each->found->waiting) claim->arrived = now_;
-          if (each->call && each->call->at + kTick < now_) End(*each);
+          if (each->HasWaiting())
+            for (Leases::Claim* claim : each->customer->waiting) claim->arrived = now_;
+          if (each->call && each->call->at + kTick < now_) TimeOut(*each);
         }
         if (ticks_ % 2 == 0) NextWindow();
         return true;
       case kCrash:
-        if (crashes_ == limits_.crashes || !holders_[at_].up) return false;
+        if (crashes_ == limits_.crashes || !holders_[holder_index_].up) return false;
         ++crashes_;
-        holders_[at_].up = false;
-        holders_[at_].counts.Stop();
-        Troubled();
+        holders_[holder_index_].up = false;
+        holders_[holder_index_].counts.Stop();
+        MarkDisturbed();
         return true;
       case kRestart: {
-        Holder& holder = holders_[at_];
+        Holder& holder = holders_[holder_index_];
         if (holder.up) return false;
         holder.up = true;
         Begin(holder);
-        Troubled();
+        MarkDisturbed();
         return true;
       }
       case kMove:
-        if (moves_ == limits_.moves || !holders_[at_].up) return false;
+        if (moves_ == limits_.moves || !holders_[holder_index_].up) return false;
         ++moves_;
         for (auto& each : gateways_) {
-          each->from = at_;
-          each->moved = false;
+          each->from = holder_index_;
+          each->knows_holder = false;
         }
-        if (fault_ != Fault::kKeepBoth) holders_[at_].counts.Stop();
-        at_ = 1 - at_;
-        Begin(holders_[at_]);
-        Troubled();
+        if (mutation_ != Mutation::kKeepBothCounts) holders_[holder_index_].counts.Stop();
+        holder_index_ = 1 - holder_index_;
+        Begin(holders_[holder_index_]);
+        MarkDisturbed();
         return true;
       case kKinds:
         break;
@@ -357,16 +361,16 @@
     window_ = after_;
     window_.units = 0;
     after_ = Window{};
-    const Holder& holder = holders_[at_];
-    bool heard = holder.up && holder.counts.begun() && now_ - holder.begun >= kWindow;
+    const Holder& holder = holders_[holder_index_];
+    bool heard = holder.up && holder.counts.started() && now_ - holder.started >= kWindow;
     for (auto& g : gateways_) {
-      heard = heard && (!g->cut || g->told);
-      g->moved = true;  // by then it is known where the count stands
+      heard = heard && (!g->cut || g->cut_known);
+      g->knows_holder = true;  // by then it is known where the count stands
     }
-    if (!heard) window_.clean = false;
+    if (!heard) window_.undisturbed = false;
   }
 
-  const Fault fault_;
+  const Mutation mutation_;
   const Limits limits_;
   // An edge of its windows.
   const TimePoint start_ =
@@ -375,57 +379,57 @@
   std::shared_ptr<const Plan> plan_;
   std::array<Holder, 2> holders_;
   std::array<std::unique_ptr<Gateway>, kGateways> gateways_;
-  std::size_t at_ = 0;  // which member holds the count
+  std::size_t holder_index_ = 0;  // which member holds the count
   int floods_ = 0, ticks_ = 0, crashes_ = 0, moves_ = 0, cuts_ = 0, late_ = 0;
   Window window_, after_;
   double most_ = 0;
-  std::string wrong_;
+  std::string violation_;
 };
 
 // By breadth: the first trace that breaks a promise is a shortest one.
-struct Found {
-  std::string broken;
+struct Result {
+  std::string violation;
   std::size_t states = 0;
   int depth = 0;
   double most = 0;
 };
 
-Found Walk(Fault fault, const Limits& limits) {
-  Found found;
+Result Explore(Mutation mutation, const Limits& limits) {
+  Result result;
   Seen64 seen;
   std::vector<std::vector<Action>> frontier{{}}, next;
-  for (found.depth = 0; found.depth < limits.depth && !frontier.empty(); ++found.depth) {
-    if (found.states > limits.states) break;
+  for (result.depth = 0; result.depth < limits.depth && !frontier.empty(); ++result.depth) {
+    if (result.states > limits.states) break;
     next.clear();
     for (const auto& path : frontier) {
       std::unique_ptr<Model> model;  // as long as a step can't happen it stays as it is
       for (int kind = 0; kind < kKinds; ++kind)
-        for (std::uint8_t who = 0; who < (OfGateway(Kind(kind)) ? kGateways : 1); ++who) {
+        for (std::uint8_t target = 0; target < (OfGateway(Kind(kind)) ? kGateways : 1); ++target) {
           if (model == nullptr) {
-            model = std::make_unique<Model>(fault, limits);
+            model = std::make_unique<Model>(mutation, limits);
             for (const Action step : path) model->Do(step);
           }
-          const Action action{Kind(kind), who};
+          const Action action{Kind(kind), target};
           if (!model->Do(action)) continue;
           const auto after = std::exchange(model, nullptr);
-          found.most = std::max(found.most, after->most());
-          if (after->wrong().empty() && !seen.Add(StableHash(after->Key()))) continue;
-          ++found.states;
+          result.most = std::max(result.most, after->most());
+          if (after->violation().empty() && !seen.Add(StableHash(after->Key()))) continue;
+          ++result.states;
           next.push_back(path);
           next.back().push_back(action);
-          if (after->wrong().empty()) continue;
-          found.broken = after->wrong() + ":";
+          if (after->violation().empty()) continue;
+          result.violation = after->violation() + ":";
           for (const Action step : next.back()) {
-            found.broken += std::string(" ") + kNames[step.kind];
-            if (OfGateway(step.kind)) found.broken += " " + std::to_string(step.who + 1);
-            found.broken += ";";
+            result.violation += std::string(" ") + kNames[step.kind];
+            if (OfGateway(step.kind)) result.violation += " " + std::to_string(step.target + 1);
+            result.violation += ";";
           }
-          return found;
+          return result;
         }
     }
     frontier.swap(next);
   }
-  return found;
+  return result;
 }
 
 #ifdef __SANITIZE_ADDRESS__
@@ -449,38 +453,38 @@
            {"a crash", crash}, {"a move", move}, {"a cut", cut}, {"late answers", late}, {"all", all}}) {
     limits.depth = 40;
     limits.states = kStates;
-    const Found found = Walk(Fault::kNone, limits);
-    BOOST_TEST_MESSAGE(name << ": " << found.states << " states to depth " << found.depth << ", at most "
-                            << found.most << " of " << kQuota << " in a window");
-    BOOST_CHECK_MESSAGE(found.broken.empty(), name << ": " << found.broken);
-    BOOST_TEST(found.states >= kStates / 10);
+    const Result result = Explore(Mutation::kNone, limits);
+    BOOST_TEST_MESSAGE(name << ": " << result.states << " states to depth " << result.depth << ", at most "
+                            << result.most << " of " << kQuota << " in a window");
+    BOOST_CHECK_MESSAGE(result.violation.empty(), name << ": " << result.violation);
+    BOOST_TEST(result.states >= kStates / 10);
   }
 }
 
 BOOST_AUTO_TEST_CASE(every_mutation_is_caught_with_a_trace) {
   struct Case {
-    Fault fault;
+    Mutation mutation;
     const char* name;
     Limits limits;
   };
-  std::vector<Case> cases{{Fault::kFromZero, "restarts from zero", {}},
-                          {Fault::kKeepBoth, "a move that keeps both", {}},
-                          {Fault::kPastTheEdge, "a lease past the window's edge", {}},
-                          {Fault::kAlone, "a share without membership", {}},
-                          {Fault::kNotReserved, "those away aren't reserved for", {}}};
-  for (auto& [fault, name, limits] : cases) {
+  std::vector<Case> cases{{Mutation::kFromZero, "restarts from zero", {}},
+                          {Mutation::kKeepBothCounts, "a move that keeps both", {}},
+                          {Mutation::kLeaseOutlivesWindow, "a lease past the window's edge", {}},
+                          {Mutation::kCountsSelfOnly, "a share without membership", {}},
+                          {Mutation::kNotReserved, "those away aren't reserved for", {}}};
+  for (auto& [mutation, name, limits] : cases) {
     limits.depth = 16;
     limits.states = 200'000;
-    limits.crashes = fault == Fault::kFromZero ? 2 : 0;
-    limits.moves = fault == Fault::kKeepBoth ? 1 : 0;
-    limits.cuts = fault == Fault::kAlone || fault == Fault::kNotReserved ? 1 : 0;
+    limits.crashes = mutation == Mutation::kFromZero ? 2 : 0;
+    limits.moves = mutation == Mutation::kKeepBothCounts ? 1 : 0;
+    limits.cuts = mutation == Mutation::kCountsSelfOnly || mutation == Mutation::kNotReserved ? 1 : 0;
     limits.late = 0;
-    const Found found = Walk(fault, limits);
-    BOOST_TEST_MESSAGE(name << ": " << found.states << " states to depth " << found.depth << ": "
-                            << found.broken);
-    BOOST_TEST(!found.broken.empty(), name);
+    const Result result = Explore(mutation, limits);
+    BOOST_TEST_MESSAGE(name << ": " << result.states << " states to depth " << result.depth << ": "
+                            << result.violation);
+    BOOST_TEST(!result.violation.empty(), name);
   }
 }
 
 }  // namespace
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/tests/quota/pressure_test.cpp
+++ b/tests/quota/pressure_test.cpp
@@ -6,7 +6,7 @@
 
 #include "quota/priority_throttle.hpp"
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -17,12 +17,12 @@
 
 struct Served {
   std::array<int, 3> asked{}, served{};
-  double Part(int step) const { return static_cast<double>(served[step]) / std::max(1, asked[step]); }
+  double ServedPart(int step) const { return static_cast<double>(served[step]) / std::max(1, asked[step]); }
   int all() const { return served[0] + served[1] + served[2]; }
 };
 
 // `demand` times 100 units a window for `windows` windows, from the window `from` on.
-Served Play(Pressure& pressure, double demand, int from, int windows, std::mt19937_64& rng) {
+Served RunWindows(PriorityThrottle& throttle, double demand, int from, int windows, std::mt19937_64& rng) {
   Served result;
   std::uniform_real_distribution<double> chance(0, 1);
   const int asks = static_cast<int>(demand * 100);
@@ -32,12 +32,12 @@
       const TimePoint now = kStart + w * kWindow + i * kWindow / asks;
       const int step = static_cast<int>(rng() % 3);
       ++result.asked[step];
-      if (!pressure.MayAsk(now, "tenant", kWindow, step, chance(rng))) continue;
+      if (!throttle.Allow(now, "tenant", kWindow, step, chance(rng))) continue;
       if (units > 0) {
         --units;
         ++result.served[step];
       } else if (step == 0) {
-        pressure.Refused(now, "tenant", kWindow);
+        throttle.RecordRefusal(now, "tenant", kWindow);
       }
     }
   }
@@ -47,10 +47,10 @@
 BOOST_AUTO_TEST_SUITE(Beyond)
 
 BOOST_AUTO_TEST_CASE(TheUnitsGoToTheFirstStepAndNoneIsLeft) {
-  Pressure pressure;
+  PriorityThrottle throttle;
   std::mt19937_64 rng(7);
-  Play(pressure, 8, 0, 2, rng);
-  const Served hot = Play(pressure, 8, 2, 20, rng);
+  RunWindows(throttle, 8, 0, 2, rng);
+  const Served hot = RunWindows(throttle, 8, 2, 20, rng);
   BOOST_TEST(hot.all() == 2000);  // as many as without it: only whose they are has changed
   BOOST_TEST(hot.served[0] > 1300);
   BOOST_TEST(hot.served[1] > 2 * hot.served[2]);
@@ -58,57 +58,57 @@
 }
 
 BOOST_AUTO_TEST_CASE(WithinTheQuotaNothingIsHeldBack) {
-  Pressure pressure;
+  PriorityThrottle throttle;
   std::mt19937_64 rng(7);
-  const Served calm = Play(pressure, 0.95, 0, 50, rng);
+  const Served calm = RunWindows(throttle, 0.95, 0, 50, rng);
   BOOST_TEST(calm.all() == calm.asked[0] + calm.asked[1] + calm.asked[2]);
 }
 
 BOOST_AUTO_TEST_CASE(ALittleBeyondCostsFewUnits) {
-  Pressure pressure;
+  PriorityThrottle throttle;
   std::mt19937_64 rng(7);
-  const Served slight = Play(pressure, 1.1, 0, 100, rng);
+  const Served slight = RunWindows(throttle, 1.1, 0, 100, rng);
   BOOST_TEST(slight.all() > 9500);  // of 10,000
-  BOOST_TEST(slight.Part(0) > 0.95);
+  BOOST_TEST(slight.ServedPart(0) > 0.95);
 }
 
 BOOST_AUTO_TEST_CASE(ItIsOverSoonAfterTheDemand) {
-  Pressure pressure;
+  PriorityThrottle throttle;
   std::mt19937_64 rng(7);
-  Play(pressure, 8, 0, 10, rng);
-  BOOST_TEST(pressure.HeldBack(kStart + 10 * kWindow, "tenant", kWindow) > 0.9);
-  const Served first = Play(pressure, 0.9, 10, 3, rng), then = Play(pressure, 0.9, 13, 10, rng);
-  BOOST_TEST(first.Part(2) > 0.4);
-  BOOST_TEST(then.Part(2) > 0.97);
+  RunWindows(throttle, 8, 0, 10, rng);
+  BOOST_TEST(throttle.ThrottleLevel(kStart + 10 * kWindow, "tenant", kWindow) > 0.9);
+  const Served first = RunWindows(throttle, 0.9, 10, 3, rng), then = RunWindows(throttle, 0.9, 13, 10, rng);
+  BOOST_TEST(first.ServedPart(2) > 0.4);
+  BOOST_TEST(then.ServedPart(2) > 0.97);
   // A pause does as much, and another tenant was never held back.
-  Play(pressure, 8, 30, 10, rng);
-  BOOST_TEST(pressure.HeldBack(kStart + 60 * kWindow, "tenant", kWindow) < 0.01);
-  BOOST_TEST(pressure.HeldBack(kStart + 40 * kWindow, "other", kWindow) == 0);
+  RunWindows(throttle, 8, 30, 10, rng);
+  BOOST_TEST(throttle.ThrottleLevel(kStart + 60 * kWindow, "tenant", kWindow) < 0.01);
+  BOOST_TEST(throttle.ThrottleLevel(kStart + 40 * kWindow, "other", kWindow) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(TheTimeSpentIsToldByTheLongestDeadline) {
-  Pressure pressure;
-  const auto spent = [&](int second, int left) {
-    return pressure.Spent(kStart + seconds(second), "reads", milliseconds(left)) / milliseconds(1);
+  PriorityThrottle throttle;
+  const auto time_spent = [&](int second, int left) {
+    return throttle.TimeSpent(kStart + seconds(second), "reads", milliseconds(left)) / milliseconds(1);
   };
-  BOOST_TEST(spent(0, 500) == 0);
-  BOOST_TEST(spent(1, 350) == 150);
-  BOOST_TEST(spent(2, 2500) == 0);  // another client's
-  BOOST_TEST(spent(3, 500) == 2000);
-  BOOST_TEST(spent(31, 500) == 2000);  // known for two turns at the most
-  BOOST_TEST(spent(100, 500) == 0);
-  BOOST_TEST(pressure.Spent(kStart, "writes", milliseconds(80)) / milliseconds(1) == 0);
+  BOOST_TEST(time_spent(0, 500) == 0);
+  BOOST_TEST(time_spent(1, 350) == 150);
+  BOOST_TEST(time_spent(2, 2500) == 0);  // another client's
+  BOOST_TEST(time_spent(3, 500) == 2000);
+  BOOST_TEST(time_spent(31, 500) == 2000);  // known for two turns at the most
+  BOOST_TEST(time_spent(100, 500) == 0);
+  BOOST_TEST(throttle.TimeSpent(kStart, "writes", milliseconds(80)) / milliseconds(1) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(TablesAreBounded) {
-  Pressure pressure({.most_tenants = 2, .most_routes = 2});
-  for (int i = 0; i < 8; ++i) pressure.Refused(kStart, "hot", kWindow);
-  BOOST_TEST(pressure.HeldBack(kStart, "hot", kWindow) == 1.0);
-  for (const char* other : {"b", "c"}) pressure.MayAsk(kStart, other, kWindow, 0, 0);
-  BOOST_TEST(pressure.HeldBack(kStart, "hot", kWindow) == 0);  // forgotten: the careless side
+  PriorityThrottle throttle({.max_tenants = 2, .max_routes = 2});
+  for (int i = 0; i < 8; ++i) throttle.RecordRefusal(kStart, "hot", kWindow);
+  BOOST_TEST(throttle.ThrottleLevel(kStart, "hot", kWindow) == 1.0);
+  for (const char* other : {"b", "c"}) throttle.Allow(kStart, other, kWindow, 0, 0);
+  BOOST_TEST(throttle.ThrottleLevel(kStart, "hot", kWindow) == 0);  // forgotten: the careless side
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 }  // namespace
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/tests/quota/quota_simulation.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -18,22 +18,22 @@
 #include "quota/quota_plan.hpp"
 #include "util/seconds.hpp"
 
-namespace curlewdoor::counting {
+namespace curlewdoor::quota {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 inline constexpr TimePoint kStart{seconds(1000)};
 
-enum class Trouble {
+enum class Fault {
   kCalm,
-  kCut,         // three of eleven gateways can't be heard by the holder
-  kHolderGone,  // killed or frozen
-  kFar,         // the holder is cut off from all others, and not counted in a majority any more
-  kRoll,        // all gateways but the holder start anew in turn
-  kHerd,        // a third of them are killed at once and come back together
-  kFrozen,      // a third of them stand still for a while and go on with what they had
-  kAll,         // every process is killed at once and comes back
+  kPartition,       // three of eleven gateways can't be heard by the holder
+  kHolderDown,      // killed or frozen
+  kHolderIsolated,  // the holder is cut off from all others, and not counted in a majority any more
+  kRollingRestart,  // all gateways but the holder start anew in turn
+  kMassRestart,     // a third of them are killed at once and come back together
+  kPaused,          // a third of them stand still for a while and go on with what they had
+  kRestartAll,      // every process is killed at once and comes back
 };
 // What gateways that are cut off take for the number of all.
 enum class Views { kKept, kShrunk };
@@ -51,37 +51,40 @@
   double rate = 0, burst = 0;  // as the tenant has it
 };
 struct Case {
-  Trouble trouble = Trouble::kCalm;
+  Fault fault = Fault::kCalm;
   Demand demand = Demand::kChanging;
-  Duration late = milliseconds(30);  // messages: at most, each way
+  Duration max_delay = milliseconds(30);  // messages: at most, each way
   Views views = Views::kKept;
   int gateways = 11;
-  Duration wait = kCountWait;
+  Duration wait = kCounterWait;
 };
 
-class World {
+class QuotaSimulation {
  public:
-  static constexpr Duration kAddEnds = milliseconds(400), kSilent = seconds(1), kLooks = milliseconds(200);
-  static constexpr Duration kFault = seconds(8), kCutFor = seconds(10), kGoneFor = seconds(4);
+  static constexpr Duration kAddTimeout = milliseconds(400), kDetectionTime = seconds(1),
+                            kReachabilityInterval = milliseconds(200);
+  static constexpr Duration kFaultAt = seconds(8), kPartitionFor = seconds(10), kDownFor = seconds(4);
   static constexpr Duration kRun = seconds(30);
 
-  World(Quota quota, const Case& what, std::uint64_t seed) : rng_(seed), quota_(quota), case_(what) {
+  QuotaSimulation(Quota quota, const Case& what, std::uint64_t seed)
+      : rng_(seed), quota_(quota), case_(what) {
     plan_ = std::make_shared<const Plan>(MakePlan("anna", quota.rate, quota.burst, seconds(5), 20));
-    if (what.demand == Demand::kSudden) sudden_ = kStart + seconds(3) + Random(seconds(3));
+    if (what.demand == Demand::kSudden) surge_at_ = kStart + seconds(3) + Random(seconds(3));
     for (int i = 0; i < what.gateways; ++i) gateways_.push_back(std::make_unique<Gateway>(*this, i));
     counts_.Begin(now_ - seconds(10));
-    for (Duration at = kLooks; at < kRun; at += kLooks) In(at, [this] { Look(); });
+    for (Duration at = kReachabilityInterval; at < kRun; at += kReachabilityInterval)
+      After(at, [this] { UpdateReachability(); });
     for (auto& gateway : gateways_) gateway->Load();
-    if (what.trouble != Trouble::kCalm) In(kFault + Random(seconds(1)), [this] { Begin(); });
+    if (what.fault != Fault::kCalm) After(kFaultAt + Random(seconds(1)), [this] { Begin(); });
   }
 
   // The most of any window of five seconds, over what the rule allows.
   double Run() {
-    while (!todo_.empty() && todo_.top().at < kStart + kRun) {
-      const Todo next = todo_.top();
-      todo_.pop();
+    while (!pending_.empty() && pending_.top().at < kStart + kRun) {
+      const PendingEvent next = pending_.top();
+      pending_.pop();
       now_ = next.at;
-      next.act();
+      next.action();
     }
     std::size_t first = 0, most = 0;
     for (std::size_t i = 0; i < admitted_.size(); ++i) {
@@ -110,121 +113,126 @@
 
  private:
   struct Gateway : Leases::Port {
-    Gateway(World& world, int number)
-        : world(world), number(number), name("g" + std::to_string(number)), rng(world.rng_()) {
-      offset = world.Random(world.case_.late * 2 / 3) - world.case_.late / 3;
+    Gateway(QuotaSimulation& simulation, int number)
+        : simulation(simulation), number(number), name("g" + std::to_string(number)), rng(simulation.rng_()) {
+      offset = simulation.Random(simulation.case_.max_delay * 2 / 3) - simulation.case_.max_delay / 3;
       Restart();
     }
     void Restart() {
-      ++life;
-      open.clear();
+      ++incarnation;
+      pending_adds.clear();
       salt = rng();
       leases = std::make_unique<Leases>(*this, rng);
-      Set(world.case_.gateways);
+      SetGatewayCount(simulation.case_.gateways);
     }
-    void Set(int gateways) {
-      leases->Configure(world.now_, LeaseOptions(gateways, world.case_.wait, salt, 20));
+    void SetGatewayCount(int gateways) {
+      leases->Configure(simulation.now_, MakeLeaseOptions(gateways, simulation.case_.wait, salt, 20));
     }
     // Its part of the requests changes now and then; sometimes hardly any come.
     void Load() {
-      if (world.now_ < world.sudden_) return world.In(world.sudden_ - world.now_, [this] { Load(); });
-      const Demand demand = world.case_.demand;
-      const int n = world.case_.gateways;
-      const std::int64_t second = (world.now_ - kStart) / seconds(1);
+      if (simulation.now_ < simulation.surge_at_)
+        return simulation.After(simulation.surge_at_ - simulation.now_, [this] { Load(); });
+      const Demand demand = simulation.case_.demand;
+      const int n = simulation.case_.gateways;
+      const std::int64_t second = (simulation.now_ - kStart) / seconds(1);
       double part = 1.0 / n, times = 0.6;
-      Duration lasts = milliseconds(500) + world.Random(seconds(6));
+      Duration lasts = milliseconds(500) + simulation.Random(seconds(6));
       if (demand == Demand::kChanging) {
         part *= std::exponential_distribution<double>(1)(rng);
-        times = 1 + 4 * world.Part();
+        times = 1 + 4 * simulation.RandomFraction();
       } else if (demand == Demand::kSudden) {
-        part *= 0.5 + world.Part();
+        part *= 0.5 + simulation.RandomFraction();
         times = 6;
       } else if (demand == Demand::kGathered) {
         part = number == 1 ? 1 : 0;
       } else if (demand == Demand::kHot) {
         if (second >= 5 && second < 20) times *= 8;
-        lasts = seconds(5) - (world.now_ - kStart) % seconds(5);
+        lasts = seconds(5) - (simulation.now_ - kStart) % seconds(5);
       } else if (demand == Demand::kMoving) {
         // Then, with the fault, all at once.
-        const std::int64_t turn = (world.now_ - kStart) / seconds(2);
+        const std::int64_t turn = (simulation.now_ - kStart) / seconds(2);
         part = second >= 8 ? 1.0 / n : turn % n == number ? 1 : 0;
         times = second >= 8 ? 4 : 1.5;
-        lasts = seconds(2) - (world.now_ - kStart) % seconds(2);
+        lasts = seconds(2) - (simulation.now_ - kStart) % seconds(2);
       } else if (demand == Demand::kSpread) {
         times = 2;
       }
-      Next(std::max(demand == Demand::kChanging ? 0.01 : 1e-9, part * world.quota_.rate * times),
-           world.now_ + lasts);
+      Next(std::max(demand == Demand::kChanging ? 0.01 : 1e-9, part * simulation.quota_.rate * times),
+           simulation.now_ + lasts);
     }
     void Next(double each, TimePoint until) {
       const Duration gap = FromSeconds(std::min(1e3, std::exponential_distribution<double>(each)(rng)));
-      if (world.now_ + gap > until)
-        return world.In(std::max<Duration>(until - world.now_, {}), [this] { Load(); });
-      world.In(gap, [this, each, until] {
-        if (!down && !still) Ask();
-        if (still) ++queued;
+      if (simulation.now_ + gap > until)
+        return simulation.After(std::max<Duration>(until - simulation.now_, {}), [this] { Load(); });
+      simulation.After(gap, [this, each, until] {
+        if (!down && !paused) Ask();
+        if (paused) ++queued_requests;
         Next(each, until);
       });
     }
     void Ask() {
       Leases::Claim& claim = claims.emplace_back();
-      claim.id = RequestId{++world.last_};
-      claim.arrived = world.now_;
-      world.asked_.push_back(world.now_);
-      leases->Ask(world.now_, claim, "anna", world.plan_);
+      claim.id = RequestId{++simulation.last_};
+      claim.arrived = simulation.now_;
+      simulation.asked_.push_back(simulation.now_);
+      leases->Acquire(simulation.now_, claim, "anna", simulation.plan_);
     }
 
     void Admit(Leases::Claim& claim) override {
-      world.admitted_.push_back(world.now_);
-      world.waits_.push_back(world.now_ - claim.arrived);
+      simulation.admitted_.push_back(simulation.now_);
+      simulation.waits_.push_back(simulation.now_ - claim.arrived);
     }
-    void Deny(Leases::Claim& claim, Duration) override { world.waits_.push_back(world.now_ - claim.arrived); }
-    void Note(const Log&) override {}
+    void Deny(Leases::Claim& claim, Duration) override {
+      simulation.waits_.push_back(simulation.now_ - claim.arrived);
+    }
+    void WriteLog(const WriteLogLine&) override {}
     Duration ClockOffset(const std::string&) const override { return offset; }
     // What a gateway that stands still would do is done when it goes on.
-    void Then(Duration delay, std::function<void()> act) {
-      world.In(delay, [this, life = life, act = std::move(act)] {
-        if (life != this->life) return;
-        if (still) return held.push_back(act);
-        act();
+    void RunUnlessPaused(Duration delay, std::function<void()> action) {
+      simulation.After(delay, [this, incarnation = incarnation, action = std::move(action)] {
+        if (incarnation != this->incarnation) return;
+        if (paused) return deferred.push_back(action);
+        action();
       });
     }
-    void Start(const SetTimer& timer) override {
-      Then(timer.delay, [this, timer] { leases->OnTimer(world.now_, timer.token); });
+    void StartTimer(const SetTimer& timer) override {
+      RunUnlessPaused(timer.delay, [this, timer] { leases->OnTimer(simulation.now_, timer.token); });
     }
-    void Answer(const AddCount& call, std::uint64_t number_of, Outcome how, double total) {
-      if (open.erase(number_of) > 0) leases->OnCount(world.now_, {call.name, how, total, {}});
+    void Answer(const AddToCounter& call, std::uint64_t add_id, Outcome outcome, double total) {
+      if (pending_adds.erase(add_id) > 0)
+        leases->OnCounterReply(simulation.now_, {call.name, outcome, total, {}});
     }
-    void Add(const std::string&, const AddCount& call) override {
-      const std::uint64_t asked = ++world.last_;
-      open.insert(asked);
-      ++world.adds_;
+    void Add(const std::string&, const AddToCounter& call) override {
+      const std::uint64_t asked = ++simulation.last_;
+      pending_adds.insert(asked);
+      ++simulation.adds_;
       const bool here = number == 0;
-      if (!here && !stream)
-        return Then({}, [this, call, asked] { Answer(call, asked, Outcome::kConnectFailed, 0); });
+      if (!here && !connected)
+        return RunUnlessPaused({}, [this, call, asked] { Answer(call, asked, Outcome::kConnectFailed, 0); });
       if (here) {
-        const auto total = world.Add(*this, call);
-        return Then({}, [this, call, asked, total] {
+        const auto total = simulation.Add(*this, call);
+        return RunUnlessPaused({}, [this, call, asked, total] {
           Answer(call, asked, total ? Outcome::kOk : Outcome::kConnectFailed, total.value_or(0));
         });
       }
-      Then(kAddEnds, [this, call, asked] { Answer(call, asked, Outcome::kTimeout, 0); });
-      there = std::max(there, world.now_ + world.Random(world.case_.late));
-      world.In(there - world.now_, [this, call, asked] {
-        if (cut || world.gateways_[0]->down) return;
-        const auto total = world.Add(*this, call);
-        back = std::max(back, world.now_ + world.Random(world.case_.late));
-        Then(back - world.now_, [this, call, asked, total] {
-          if (!cut) Answer(call, asked, total ? Outcome::kOk : Outcome::kConnectFailed, total.value_or(0));
+      RunUnlessPaused(kAddTimeout, [this, call, asked] { Answer(call, asked, Outcome::kTimeout, 0); });
+      arrives_at = std::max(arrives_at, simulation.now_ + simulation.Random(simulation.case_.max_delay));
+      simulation.After(arrives_at - simulation.now_, [this, call, asked] {
+        if (partitioned || simulation.gateways_[0]->down) return;
+        const auto total = simulation.Add(*this, call);
+        reply_at = std::max(reply_at, simulation.now_ + simulation.Random(simulation.case_.max_delay));
+        RunUnlessPaused(reply_at - simulation.now_, [this, call, asked, total] {
+          if (!partitioned)
+            Answer(call, asked, total ? Outcome::kOk : Outcome::kConnectFailed, total.value_or(0));
         });
       });
     }
-    void GoOn() {
-      still = false;
-      for (; queued > 0; --queued) Ask();
-      for (auto& act : std::exchange(held, {})) act();
+    void Resume() {
+      paused = false;
+      for (; queued_requests > 0; --queued_requests) Ask();
+      for (auto& action : std::exchange(deferred, {})) action();
     }
-    World& world;
+    QuotaSimulation& simulation;
     const int number;
     const std::string name;
     std::mt19937_64 rng;
@@ -232,125 +240,127 @@
     std::unique_ptr<Leases> leases;
     Duration offset;
     std::deque<Leases::Claim> claims;
-    std::set<std::uint64_t> open;
-    std::vector<std::function<void()>> held;
-    TimePoint there, back;  // when the last message of its stream comes
-    bool cut = false, stream = true, down = false, still = false;
-    int life = 0, queued = 0;
+    std::set<std::uint64_t> pending_adds;
+    std::vector<std::function<void()>> deferred;
+    TimePoint arrives_at, reply_at;  // when the last message of its stream comes
+    bool partitioned = false, connected = true, down = false, paused = false;
+    int incarnation = 0, queued_requests = 0;
   };
 
-  struct Todo {
+  struct PendingEvent {
     TimePoint at;
     std::uint64_t order;
-    std::function<void()> act;
-    bool operator<(const Todo& other) const {
+    std::function<void()> action;
+    bool operator<(const PendingEvent& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
   };
 
-  void In(Duration delay, std::function<void()> act) { todo_.push({now_ + delay, ++last_, std::move(act)}); }
-  double Part() { return static_cast<double>(rng_() >> 11) * 0x1.0p-53; }
-  Duration Random(Duration most) { return FromSeconds(Part() * Seconds(most)); }
+  void After(Duration delay, std::function<void()> action) {
+    pending_.push({now_ + delay, ++last_, std::move(action)});
+  }
+  double RandomFraction() { return static_cast<double>(rng_() >> 11) * 0x1.0p-53; }
+  Duration Random(Duration most) { return FromSeconds(RandomFraction() * Seconds(most)); }
 
-  std::optional<double> Add(const Gateway& by, const AddCount& call) {
-    return counts_.Add(now_,
-                       {"anna", by.name, call.name, call.lifetime, call.amount, plan_->burst, plan_->tight});
+  std::optional<double> Add(const Gateway& by, const AddToCounter& call) {
+    return counts_.Add(now_, {"anna", by.name, call.name, call.lifetime, call.amount, plan_->burst,
+                              plan_->no_burst_headroom});
   }
-  void Look() {
-    std::set<std::string> away, all;
+  void UpdateReachability() {
+    std::set<std::string> unreachable, all;
     for (const auto& gateway : gateways_) {
       all.insert(gateway->name);
-      if (gateway->number > 0 && !gateway->stream) away.insert(gateway->name);
+      if (gateway->number > 0 && !gateway->connected) unreachable.insert(gateway->name);
     }
-    counts_.SetAway(now_, away, std::move(all));
+    counts_.SetUnreachable(now_, unreachable, std::move(all));
   }
 
   // `gateway` is dead for so long, and its stream comes back a while after.
-  void Kill(Gateway& gateway, Duration gone) {
+  void Kill(Gateway& gateway, Duration down_for) {
     gateway.down = true;
-    gateway.stream = false;
-    ++gateway.life;
-    In(gone, [this, &gateway] {
+    gateway.connected = false;
+    ++gateway.incarnation;
+    After(down_for, [this, &gateway] {
       gateway.down = false;
       gateway.Restart();
-      In(Random(milliseconds(500)), [&gateway] { gateway.stream = true; });
+      After(Random(milliseconds(500)), [&gateway] { gateway.connected = true; });
     });
   }
 
-  void HolderGoes(bool killed) {
+  void StopHolder(bool killed) {
     Gateway& holder = *gateways_[0];
     holder.down = true;
-    ++holder.life;
+    ++holder.incarnation;
     counts_.Stop();
-    const Duration seen = killed ? Duration(milliseconds(1)) : kSilent;
+    const Duration detected_after = killed ? Duration(milliseconds(1)) : kDetectionTime;
     for (auto& gateway : gateways_)
-      if (gateway->number > 0) In(seen, [&gateway] { gateway->stream = false; });
-    In(kGoneFor, [this, &holder] {
+      if (gateway->number > 0) After(detected_after, [&gateway] { gateway->connected = false; });
+    After(kDownFor, [this, &holder] {
       holder.down = false;
       holder.Restart();
-      counts_ = HeldCounts();
+      counts_ = QuotaCounters();
       counts_.Begin(now_);
       for (auto& gateway : gateways_)
-        if (gateway->number > 0) In(Random(seconds(2)), [&gateway] { gateway->stream = true; });
+        if (gateway->number > 0) After(Random(seconds(2)), [&gateway] { gateway->connected = true; });
     });
   }
 
   void Begin() {
     const int n = case_.gateways;
-    const auto some = static_cast<std::size_t>(std::max(1, n * 3 / 11));
-    const auto first = gateways_.size() - some;
-    switch (case_.trouble) {
-      case Trouble::kCalm:
+    const auto affected = static_cast<std::size_t>(std::max(1, n * 3 / 11));
+    const auto first = gateways_.size() - affected;
+    switch (case_.fault) {
+      case Fault::kCalm:
         break;
-      case Trouble::kCut:
+      case Fault::kPartition:
         for (std::size_t i = first; i < gateways_.size(); ++i) {
           Gateway& gateway = *gateways_[i];
-          gateway.cut = true;
-          In(kSilent, [&gateway] { gateway.stream = false; });
-          if (case_.views == Views::kShrunk) In(seconds(3), [&gateway] { gateway.Set(1); });
-          In(kCutFor, [&gateway, n] {
-            gateway.cut = false;
-            gateway.Set(n);
+          gateway.partitioned = true;
+          After(kDetectionTime, [&gateway] { gateway.connected = false; });
+          if (case_.views == Views::kShrunk) After(seconds(3), [&gateway] { gateway.SetGatewayCount(1); });
+          After(kPartitionFor, [&gateway, n] {
+            gateway.partitioned = false;
+            gateway.SetGatewayCount(n);
           });
-          In(kCutFor + Random(seconds(2)), [&gateway] { gateway.stream = true; });
+          After(kPartitionFor + Random(seconds(2)), [&gateway] { gateway.connected = true; });
         }
         break;
-      case Trouble::kHolderGone:
-        HolderGoes(rng_() % 2 == 0);
+      case Fault::kHolderDown:
+        StopHolder(rng_() % 2 == 0);
         break;
-      case Trouble::kFar:
+      case Fault::kHolderIsolated:
         for (auto& gateway : gateways_) {
           if (gateway->number == 0) continue;
-          gateway->cut = true;
-          In(kSilent, [&gateway] { gateway->stream = false; });
-          In(kCutFor, [&gateway] { gateway->cut = false; });
-          In(kCutFor + Random(seconds(2)), [&gateway] { gateway->stream = true; });
+          gateway->partitioned = true;
+          After(kDetectionTime, [&gateway] { gateway->connected = false; });
+          After(kPartitionFor, [&gateway] { gateway->partitioned = false; });
+          After(kPartitionFor + Random(seconds(2)), [&gateway] { gateway->connected = true; });
         }
-        In(kSilent, [this] { counts_.Stop(); });
-        In(kCutFor + Random(seconds(1)), [this] { counts_.Begin(now_); });
+        After(kDetectionTime, [this] { counts_.Stop(); });
+        After(kPartitionFor + Random(seconds(1)), [this] { counts_.Begin(now_); });
         break;
-      case Trouble::kRoll:
+      case Fault::kRollingRestart:
         for (std::size_t i = 1; i < gateways_.size(); ++i)
-          In(FromSeconds(12.0 * static_cast<double>(i) / n),
-             [this, i] { Kill(*gateways_[i], milliseconds(500)); });
+          After(FromSeconds(12.0 * static_cast<double>(i) / n),
+                [this, i] { Kill(*gateways_[i], milliseconds(500)); });
         break;
-      case Trouble::kHerd:
+      case Fault::kMassRestart:
         for (std::size_t i = first; i < gateways_.size(); ++i) Kill(*gateways_[i], seconds(2));
         break;
-      case Trouble::kFrozen:
+      case Fault::kPaused:
         for (std::size_t i = first; i < gateways_.size(); ++i) {
           Gateway& gateway = *gateways_[i];
-          gateway.still = true;
-          In(kSilent, [&gateway] { gateway.stream = false; });
-          In(milliseconds(300) + Random(seconds(6)), [this, &gateway] {
-            gateway.GoOn();
-            In(Random(milliseconds(500)), [&gateway] { gateway.stream = true; });
+          gateway.paused = true;
+          After(kDetectionTime, [&gateway] { gateway.connected = false; });
+          After(milliseconds(300) + Random(seconds(6)), [this, &gateway] {
+            gateway.Resume();
+            After(Random(milliseconds(500)), [&gateway] { gateway.connected = true; });
           });
         }
         break;
-      case Trouble::kAll:
+      case Fault::kRestartAll:
         for (std::size_t i = 1; i < gateways_.size(); ++i) Kill(*gateways_[i], seconds(3));
-        HolderGoes(true);
+        StopHolder(true);
         break;
     }
   }
@@ -358,16 +368,16 @@
   std::mt19937_64 rng_;
   const Quota quota_;
   const Case case_;
-  TimePoint sudden_ = kStart;
+  TimePoint surge_at_ = kStart;
   TimePoint now_ = kStart;
   std::uint64_t last_ = 0;
   std::size_t adds_ = 0;
-  std::priority_queue<Todo> todo_;
+  std::priority_queue<PendingEvent> pending_;
   std::shared_ptr<const Plan> plan_;
-  HeldCounts counts_;
+  QuotaCounters counts_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::vector<TimePoint> admitted_, asked_;
   std::vector<Duration> waits_;
 };
 
-}  // namespace curlewdoor::counting
+}  // namespace curlewdoor::quota
--- a/tests/reducer_test.cpp
+++ b/tests/reducer_test.cpp
@@ -200,7 +200,7 @@
     Handle(RequestRead{Request(id, "read")});
     EXPECT_EQ(TakeOne<StartAttempt>().host, HostId{2});
   }
-  Tell({Host(2, HostState::kGone)}, false);
+  Tell({Host(2, HostState::kRemoved)}, false);
   const auto stop = TakeOne<StopSending>();
   EXPECT_EQ(stop.host, HostId{2});
   EXPECT_EQ(stop.by, now_ + milliseconds(500));
@@ -362,7 +362,7 @@
         member.entry.host = HostId{id};
         member.entry.state = chance(75)   ? HostState::kReady
                              : chance(50) ? HostState::kDraining
-                                          : HostState::kGone;
+                                          : HostState::kRemoved;
         if (chance(20)) member.entry.started = now - seconds(1);
         if (chance(70)) told.members.members.push_back(member);
       }
--- a/tests/roster_test.cpp
+++ b/tests/roster_test.cpp
@@ -17,7 +17,7 @@
 struct ByHandTest : ::testing::Test {
   HostState Told(MemberList list) {
     const MemberList passed = by_hand.Told(std::move(list));
-    return passed.members.empty() ? HostState::kGone : passed.members.front().entry.state;
+    return passed.members.empty() ? HostState::kRemoved : passed.members.front().entry.state;
   }
   ByHand by_hand;
   std::optional<MemberList> change;
@@ -29,7 +29,7 @@
   ASSERT_TRUE(change);
   EXPECT_EQ(change->members.front().entry.state, HostState::kDraining);
   EXPECT_EQ(Told({2, false, {Host("a", HostState::kReady, 9)}}), HostState::kDraining);  // a new address
-  EXPECT_EQ(Told({3, false, {Host("a", HostState::kGone)}}), HostState::kGone);
+  EXPECT_EQ(Told({3, false, {Host("a", HostState::kRemoved)}}), HostState::kRemoved);
   EXPECT_EQ(Told({4, false, {Host("a")}}), HostState::kDraining);  // gone and back
   EXPECT_EQ(Told({5, true, {Host("a"), Host("b")}}), HostState::kDraining);
   EXPECT_EQ(by_hand.listed_out(), 1u);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -403,7 +403,7 @@
   Descriptors descriptors(128);
   Counter counter(loop_, config_->settings, counter_->address, descriptors, told);
   const auto start = [&](std::uint64_t id) {
-    counter.Start(StartCall{CallId{id}, CountName{100 + id}, seconds(4), 1.5});
+    counter.Start(StartCall{CallId{id}, CounterName{100 + id}, seconds(4), 1.5});
   };
   // Busy connections are shared from the fifth call on.
   for (std::uint64_t id = 1; id <= 8; ++id) start(id);
@@ -439,9 +439,9 @@
   ASSERT_NO_FATAL_FAILURE(ReadConfig());
   Descriptors descriptors(128);
   Counter counter(loop_, config_->settings, counter_->address, descriptors, told);
-  counter.Start(StartCall{CallId{1}, CountName{101}, seconds(4), 1});
+  counter.Start(StartCall{CallId{1}, CounterName{101}, seconds(4), 1});
   counter.Drop(CallId{1});
-  counter.Start(StartCall{CallId{2}, CountName{102}, seconds(4), 1});
+  counter.Start(StartCall{CallId{2}, CounterName{102}, seconds(4), 1});
   ASSERT_NE(PeerThatSaid(*counter_, 0, "POST /tally/102?"), nullptr);
   EXPECT_FALSE(counter_->peers[0]->Got("/tally/101"));
   EXPECT_EQ(told.Count<CallWritten>(), 1u);
@@ -454,7 +454,7 @@
   Descriptors descriptors(128);
   Counter counter(loop_, config_->settings, counter_->address, descriptors, told);
   const auto start = [&](std::uint64_t id) {
-    counter.Start(StartCall{CallId{id}, CountName{100 + id}, seconds(4), 1});
+    counter.Start(StartCall{CallId{id}, CounterName{100 + id}, seconds(4), 1});
   };
   for (std::uint64_t id = 1; id <= 4; ++id) start(id);
   ASSERT_TRUE(Until([&] { return told.Count<CallWritten>() == 4; }));
@@ -482,7 +482,7 @@
   Descriptors descriptors(128);
   Counter counter(loop_, config_->settings, counter_->address, descriptors, told);
   for (std::uint64_t id = 1; id <= 8; ++id)
-    counter.Start(StartCall{CallId{id}, CountName{100 + id}, seconds(4), 1});
+    counter.Start(StartCall{CallId{id}, CounterName{100 + id}, seconds(4), 1});
   ASSERT_TRUE(Until([&] { return told.Count<CallWritten>() == 8; }));
   counter_->peers[0]->Send(Answer("much"));
   ASSERT_TRUE(Until([&] { return told.Count<CallAnswered>() == 1; }));
--- a/tests/system/kitchen.hpp
+++ b/tests/system/kitchen.hpp
@@ -102,7 +102,7 @@
     settings.bootstrap = true;
     settings.bounds.retry_slack = 1e6;
     front = std::make_unique<Front>(
-        loop.get(), settings, descriptors, seed, [](const std::string&, const AddCount&) {},
+        loop.get(), settings, descriptors, seed, [](const std::string&, const AddToCounter&) {},
         [](const std::string&) { return Duration(); });
     std::string error;
     BOOST_REQUIRE_MESSAGE(front->Listen({0x7f000001, 0}, error), error);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -105,12 +105,12 @@
 TEST(Events, EveryOutcome) {
   const std::vector<std::pair<std::string, Outcome>> all{{"Ok", Outcome::kOk},
                                                          {"Failed", Outcome::kError},
-                                                         {"QueueFull", Outcome::kFull},
+                                                         {"QueueFull", Outcome::kQueueFull},
                                                          {"TimedOut", Outcome::kTimeout},
                                                          {"ConnectError", Outcome::kConnectFailed},
                                                          {"ResetByPeer", Outcome::kReset},
                                                          {"Canceled", Outcome::kCancelled},
-                                                         {"Ignored", Outcome::kMoot}};
+                                                         {"Ignored", Outcome::kDiscarded}};
   for (const auto& [word, outcome] : all)
     EXPECT_EQ(OneEvent<AttemptEnded>("ANSWER ticket=1 host=2 how=" + word).outcome, outcome);
 }
@@ -121,8 +121,8 @@
       "stats=inflight:3,queue:0.5");
   EXPECT_EQ(a.attempt, 2);
   EXPECT_TRUE(a.closed);
-  EXPECT_DOUBLE_EQ(a.meter_use, 86);
-  EXPECT_DOUBLE_EQ(a.true_units, 3);
+  EXPECT_DOUBLE_EQ(a.meter_reading, 86);
+  EXPECT_DOUBLE_EQ(a.actual_units, 3);
   ASSERT_EQ(a.load.size(), 2u);
   EXPECT_EQ(a.load[1].name, "queue");
   EXPECT_DOUBLE_EQ(a.load[1].value, 0.5);
@@ -134,7 +134,7 @@
       "M host=51530247 dc=hall-a flavor=std-2c cell=0 availability=IN capacity_hint=1\n"
       "M host=747639282 dc=hall-b flavor=std-2c cell=4 availability=LAME capacity_hint=1.5 "
       "up_since_ns=6100000000");
-  EXPECT_EQ(list.kind, ListKind::kCached);
+  EXPECT_EQ(list.kind, HostListKind::kCached);
   EXPECT_EQ(list.version, 41u);
   ASSERT_EQ(list.entries.size(), 2u);
   EXPECT_EQ(list.entries[0].started, TimePoint{});
@@ -145,11 +145,11 @@
 
 TEST(Events, TheOthers) {
   EXPECT_EQ(OneEvent<TimerFired>("TIMER ctx=9223372036854775808").token.value, 1ull << 63);
-  EXPECT_EQ(OneEvent<RequestGone>("LEFT ticket=7").id.value, 7u);
+  EXPECT_EQ(OneEvent<RequestAbandoned>("LEFT ticket=7").id.value, 7u);
   EXPECT_EQ(OneEvent<AttemptStarted>("ACCEPTED ticket=7 n=1 host=3 lag_ns=5").attempt, 1);
   EXPECT_EQ(OneEvent<ProbeEnded>("HEALTH host=3 how=TimedOut lag_ns=5").outcome, Outcome::kTimeout);
   EXPECT_EQ(OneEvent<PeerMessage>("NOTE_FROM from=2 content=aGkgNw==").data, "hi 7");
-  const auto c = OneEvent<CountAnswered>("COUNTED how=Ok lag_ns=2150000 total=38.5 entry_name=9041552");
+  const auto c = OneEvent<CounterReply>("COUNTED how=Ok lag_ns=2150000 total=38.5 entry_name=9041552");
   EXPECT_EQ(c.name.value, 9041552u);
   EXPECT_DOUBLE_EQ(c.total, 38.5);
 }
@@ -168,29 +168,30 @@
   const Settings& s = started.settings;
   EXPECT_EQ(started.seed, 5138197539985895u);
   EXPECT_EQ(s.zones, (std::vector<std::string>{"hall-a", "hall-b"}));
-  EXPECT_EQ(s.discovery, Discovery::kAsk);
+  EXPECT_EQ(s.discovery, DiscoveryMode::kSubscribe);
   EXPECT_EQ(s.counter.timeout, std::chrono::milliseconds(30));
   EXPECT_TRUE(s.counter.available);
   EXPECT_EQ(s.limits.max_attempts, 5);
   EXPECT_TRUE(s.limits.second_copies);
   EXPECT_TRUE(s.kinds.empty());
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].repeat, Repeat::kSafe);
-  EXPECT_EQ(s.classes[1].repeat, Repeat::kKeyed);
-  EXPECT_EQ(s.classes[1].group, RepeatGroup::kCell);
-  EXPECT_EQ(s.reports.how, Reports::kByProbe);
-  EXPECT_EQ(s.reports.fields.size(), 2u);
+  EXPECT_EQ(s.classes[0].repeat, RepeatSafety::kSafe);
+  EXPECT_EQ(s.classes[1].repeat, RepeatSafety::kKeyed);
+  EXPECT_EQ(s.classes[1].dedup_scope, DedupScope::kCell);
+  EXPECT_EQ(s.load_reports.mode, LoadReportMode::kOnProbe);
+  EXPECT_EQ(s.load_reports.fields.size(), 2u);
   EXPECT_EQ(s.gateways, 2);
   ASSERT_EQ(s.plans.size(), 1u);
   EXPECT_DOUBLE_EQ(s.plans[0].ceiling_rate, 35);
-  EXPECT_EQ(s.plans[0].open_cap, 3);
-  EXPECT_EQ(s.size_hint, SizeHint::kRough);
+  EXPECT_EQ(s.plans[0].max_concurrent, 3);
+  EXPECT_EQ(s.capacity_hint, CapacityHint::kRough);
 }
 
 TEST(Settings, AnUnknownEffectIsTakenAsTheMostCareful) {
   const Batch batch =
       ReadOne("ROUND time_ns=1\nON i=3\nPROVISION random_seed=1 request_classes.0.effect=novel\nEOB\n");
-  EXPECT_EQ(std::get<Started>(batch.entries.at(0).message).settings.classes.at(0).repeat, Repeat::kUnsafe);
+  EXPECT_EQ(std::get<Started>(batch.entries.at(0).message).settings.classes.at(0).repeat,
+            RepeatSafety::kUnsafe);
 }
 
 TEST(Malformed, NamesLineAndField) {
@@ -233,20 +234,20 @@
             "ISSUE ticket=1564119492 host=51530247 expire_at_ns=8492250000\n");
   EXPECT_EQ(Written(SendAttempt{{1}, {2}, {}}), "ISSUE ticket=1 host=2\n");
   EXPECT_EQ(Written(CancelAttempt{{1}, 2}), "UNDO_SEND ticket=1 n=2\n");
-  EXPECT_EQ(Written(Refuse{{1}, Duration(5)}), "BOUNCE ticket=1 hold_off_ns=5\n");
-  EXPECT_EQ(Written(Refuse{{1}, {}}), "BOUNCE ticket=1\n");
-  EXPECT_EQ(Written(Fail{{1}}), "END_FAILED ticket=1\n");
+  EXPECT_EQ(Written(RefuseRequest{{1}, Duration(5)}), "BOUNCE ticket=1 hold_off_ns=5\n");
+  EXPECT_EQ(Written(RefuseRequest{{1}, {}}), "BOUNCE ticket=1\n");
+  EXPECT_EQ(Written(FailRequest{{1}}), "END_FAILED ticket=1\n");
   EXPECT_EQ(Written(SetTimer{{77}, Duration(500000000)}), "NOTIFY_ME ctx=77 in_ns=500000000\n");
   EXPECT_EQ(Written(SendProbe{{4}}), "TEST host=4\n");
   EXPECT_EQ(Written(CloseIdle{{4}}), "SHUT_IDLE host=4\n");
-  EXPECT_EQ(Written(TellPeer{-1, "hi 7"}), "ANNOUNCE target=-1 content=aGkgNw==\n");
-  EXPECT_EQ(Written(TellPeer{2, ""}), "ANNOUNCE target=2 content=-\n");
-  EXPECT_EQ(Written(Watch{true}), "KEEP_INFORMED want=1\n");
-  EXPECT_EQ(Written(Watch{false}), "KEEP_INFORMED want=0\n");
-  EXPECT_EQ(Written(FetchList{}), "PULL\n");
-  EXPECT_EQ(Written(AddCount{{9041552}, Duration(3000000000), -2.5}),
+  EXPECT_EQ(Written(SendToPeer{-1, "hi 7"}), "ANNOUNCE target=-1 content=aGkgNw==\n");
+  EXPECT_EQ(Written(SendToPeer{2, ""}), "ANNOUNCE target=2 content=-\n");
+  EXPECT_EQ(Written(WatchHosts{true}), "KEEP_INFORMED want=1\n");
+  EXPECT_EQ(Written(WatchHosts{false}), "KEEP_INFORMED want=0\n");
+  EXPECT_EQ(Written(FetchHostList{}), "PULL\n");
+  EXPECT_EQ(Written(AddToCounter{{9041552}, Duration(3000000000), -2.5}),
             "BUMP entry_name=9041552 lifetime_ns=3000000000 add=-2.5\n");
-  EXPECT_EQ(Written(Log{"two\nlines"}), "NOTE_DOWN body_text=two lines\n");
+  EXPECT_EQ(Written(WriteLogLine{"two\nlines"}), "NOTE_DOWN body_text=two lines\n");
   std::string out;
   AppendInstance(3, out);
   AppendFault("broken", out);
