--- a/src/handover/snapshot.cpp
+++ b/src/handover/snapshot.cpp
@@ -30,13 +30,13 @@
 }
 template <typename Codec, typename M>
 void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, GatewaySnapshot::HostRecord> {
-  codec(m.host, m.started, m.memory.slowness, m.memory.slowness_at, m.memory.failures, m.memory.failure_rate,
-        m.memory.failure_at, m.memory.success_at, m.memory.cold_budget, m.memory.cold_at);
+  codec(m.host, m.started, m.stats.slowness, m.stats.slowness_at, m.stats.failures, m.stats.failure_rate,
+        m.stats.failure_at, m.stats.success_at, m.stats.cold_budget, m.stats.cold_at);
 }
 template <typename Codec, typename M>
 void Fields(Codec& codec,
             M& m) requires std::is_same_v<std::remove_const_t<M>, GatewaySnapshot::ClassRecord> {
-  codec(m.name, m.memory.latency, m.memory.units);
+  codec(m.name, m.stats.latency, m.stats.units);
 }
 template <typename Codec, typename M>
 void Fields(Codec& codec, M& m) requires std::is_same_v<std::remove_const_t<M>, Member> {
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -315,10 +315,9 @@
   int set_size = 1;
   bool in_set = true;  // whether this gateway is in the customer's set
   std::int64_t window = -1;
-  double visible_fraction =
-      1;              // of the quota, given out on this side of the counter; below 1 while partitioned
-  double leased = 0;  // units added to the counter and not yet spent
-  double level = 0;   // estimated units left in the quota at level_at; below 0: overdrawn
+  double visible_fraction = 1;  // of the quota, given out on this side; below 1 while partitioned
+  double leased = 0;            // units added to the counter and not yet spent
+  double level = 0;             // estimated units left in the quota at level_at; below 0: overdrawn
   TimePoint level_at;
   double total = 0;        // the largest total known
   double local_added = 0;  // this gateway's part of the total
@@ -332,7 +331,7 @@
   double ceiling = 0;  // tokens in this gateway's part of the ceiling at ceiling_at
   double exempt = 0;   // leased units added while the total was far enough below the ceiling
   TimePoint ceiling_at, seen_at;
-  TimePoint plan_changed_at{};  // when the plan changed last
+  TimePoint plan_changed_at{};
 };
 
 struct HostStats {
@@ -358,8 +357,7 @@
   TimePoint next_probe_at;
   double call_rate = 0, call_tokens = 0;  // calls per second, and tokens saved up
   TimePoint call_tokens_at;
-  double mean_stake = 0, mean_admitted = 1,
-         mean_counted = 1;  // smoothed: value at stake, units admitted and counted
+  double mean_stake = 0, mean_admitted = 1, mean_counted = 1;  // value at stake, units admitted, counted
 };
 
 struct LoadState {
@@ -379,11 +377,11 @@
   struct HostRecord {
     HostId host;
     TimePoint started;
-    HostStats memory;
+    HostStats stats;
   };
   struct ClassRecord {
     std::string name;
-    ClassStats memory;
+    ClassStats stats;
   };
   LocalState local;
   std::vector<CustomerState> customers;  // most recently seen first
@@ -409,7 +407,7 @@
   // Upgrades. ExportState gives all leases and ceiling tokens to the new process; this one then only finishes
   // its open requests. ResumeServing, after a failed upgrade, starts with empty ceiling tokens.
   GatewaySnapshot ExportState();
-  void ImportState(const GatewaySnapshot& memory);
+  void ImportState(const GatewaySnapshot& state);
   void ResumeServing(TimePoint now);
 
  private:
--- a/src/logic/gateway.hpp
+++ b/src/logic/gateway.hpp
@@ -29,7 +29,7 @@
     return CountEjected(MaxEjection());
   }
   GatewaySnapshot ExportState();
-  void ImportState(const GatewaySnapshot& memory);
+  void ImportState(const GatewaySnapshot& state);
   void ResumeServing(TimePoint now);
 
  private:
--- a/src/logic/leases.cpp
+++ b/src/logic/leases.cpp
@@ -145,7 +145,7 @@
   c.level_at = now_;
 }
 
-void Leases::ChargeLease(Customer& c, double units) {  // units under the ceiling's limits first
+void Leases::ChargeLease(Customer& c, double units) {  // non-exempt units first
   c.leased -= units;
   c.exempt = std::min(c.exempt, std::max(0.0, c.leased));
 }
--- a/src/quota/priority_throttle.cpp
+++ b/src/quota/priority_throttle.cpp
@@ -6,11 +6,10 @@
 namespace curlewdoor::quota {
 namespace {
 
-constexpr Duration kDeadlinePeriod =
-    std::chrono::seconds(30);         // a deadline is remembered for one to two of these
-constexpr double kStepFactor = 0.25;  // of the previous rank's probability
-constexpr double kDecay = 0.5;        // factor on the throttle after a window without refusal
-constexpr double kMinAsked = 4;       // fewer requests are no evidence
+constexpr Duration kDeadlinePeriod = std::chrono::seconds(30);  // deadlines are kept for one to two
+constexpr double kStepFactor = 0.25;                            // of the previous rank's probability
+constexpr double kDecay = 0.5;   // factor on the throttle after a window without refusal
+constexpr double kMinAsked = 4;  // fewer requests are no evidence
 
 // Clamped, as an answer may come in the window after its request asked.
 double RefusedPart(double refused, double asked) {
--- a/src/quota/quota_counters.cpp
+++ b/src/quota/quota_counters.cpp
@@ -34,9 +34,8 @@
   all_ = std::move(all);
 }
 
-// The shares that unreachable gateways may still admit, each as the gateway itself measured it last. It may
-// not have seen all use, and goes by its share from its first failed call on, before its loss is detected
-// here.
+// Shares that unreachable gateways may still admit, each as the gateway itself measured it last. It may not
+// have seen all use, and goes by its share from its first failed call on, before its loss is detected here.
 double QuotaCounters::Reserved(TimePoint now, const Call& call) const {
   if (call.quota <= 0) return 0;
   // Just after the start, gateways that have not called yet still go by their shares.
--- a/tests/budget/model_check_test.cpp
+++ b/tests/budget/model_check_test.cpp
@@ -1,7 +1,7 @@
-// All interleavings, to a depth, of three gateways and a divider that may move, for a whole of 4: questions
-// and grants that are lost, repeated and late, stalls, restarts, ticks of clocks that differ by the bound.
-// Held in every state: parts in force, with the safe parts, sum to the whole at most. Six mutants are found,
-// each with its trace.
+// Model check, to a bounded depth, of all interleavings of three gateways and a divider that may move, with a
+// budget of 4: lost, repeated and late requests and grants, stalls, restarts, and clocks that differ by the
+// bound. Invariant: allocations in force plus the safe allocations never exceed the whole. Six mutants must
+// each be found with a trace.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +31,7 @@
   kStaleRequestRenews
 };
 
-// With e = 1/3 a fast clock runs twice as fast as a slow one: the bound, in whole steps.
+// With a clock bound of 1/3 a fast clock runs twice as fast as a slow one, which is the bound in whole steps.
 BudgetTerms TermsOf(Units whole, Units reserve) {
   BudgetTerms terms{whole, reserve, kGateways, {}};
   terms.lease.lease = seconds(4);
@@ -51,7 +51,7 @@
   std::vector<Divider> divider;  // one
   std::vector<Message> messages;
   std::vector<std::pair<Units, Time>>
-      kept_spending;  // of kRestartSpendsOn: what a new life takes for its own
+      kept_spending;  // for kRestartKeepsSpending: units kept by the new incarnation
   std::vector<Life> lives;
   std::uint64_t token = 1;
   int true_time = 100, restarts = 0, moves = 0;
@@ -59,7 +59,7 @@
 
 class Check {
  public:
-  // `granted`: begins where gateway 0 has just been granted the whole.
+  // `granted`: starts after gateway 0 has been granted the whole.
   Check(Mutant mutant, Units reserve, std::vector<int> rates, int depth, bool granted)
       : mutant_(mutant),
         terms_(TermsOf(4 + reserve, reserve)),
@@ -189,14 +189,14 @@
       if (state.parts[g].sequence() >= 3) continue;
       State next = state;
       next.parts[g].ObserveDivider(
-          next.token);  // the news is quick; a late question still names who divided then
-      // All want the whole; what gateway 2 wants is a lie of a million.
+          next.token);  // a new divider is known at once; a late request still names the old one
+      // All gateways want the whole; gateway 2 claims to want a million.
       next.messages.push_back(
           {true, g, next.parts[g].Ask(Clock(next, g), g == 2 ? 1'000'000 : terms_.whole), {}});
       Step(std::move(next), depth, "gateway " + std::to_string(g) + " asks");
       if (!violation_.empty()) return;
     }
-    if (!state.messages.empty()) {  // the oldest is lost, so that it holds back no other
+    if (!state.messages.empty()) {  // the oldest is lost, so that it blocks no other
       State next = state;
       next.messages.erase(next.messages.begin());
       Step(std::move(next), depth, "a message is lost");
@@ -225,7 +225,7 @@
 
   const Mutant mutant_;
   const BudgetTerms terms_;
-  const std::vector<int> rates_;  // of the gateways, then of whoever divides
+  const std::vector<int> rates_;  // clock rates of the gateways, then of the divider
   const int depth_;
   const bool granted_;
   std::unordered_map<std::string, int> seen_;
@@ -233,7 +233,7 @@
   std::string violation_;
 };
 
-// Deeper with CURLEWDOOR_MODEL_DEPTH.
+// Search depth; CURLEWDOOR_MODEL_DEPTH overrides it.
 int Depth() {
   const char* given = std::getenv("CURLEWDOOR_MODEL_DEPTH");
   return given != nullptr ? std::atoi(given) : 8;
@@ -296,8 +296,8 @@
   }
 }
 
-// Messages of a hundred gateways lost, repeated and late by chance, dividers that come and go, restarts and
-// clocks at the bound; each gateway's own count of what is in force, in true time.
+// Randomly lost, repeated and late messages of a hundred gateways, changing dividers, restarts and clocks at
+// the bound. Sums what each gateway considers in force, in true time.
 TEST(Budgets, TheWholeIsKeptOverManySeeds) {
   for (const std::size_t gateways : {std::size_t{12}, std::size_t{100}}) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -336,7 +336,8 @@
           const std::size_t which = below(3) == 0 ? below(messages.size()) : 0;
           const Message message = messages[which].second;
           if (below(10) != 0)
-            messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(which));  // else it comes again
+            messages.erase(messages.begin() +
+                           static_cast<std::ptrdiff_t>(which));  // else it is delivered again
           if (below(10) == 0) continue;
           if (message.sequence) {
             messages.push_back(
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -1,4 +1,4 @@
-// The counting class alone: several gateways, one simulated counter, virtual time. No hosts, no requests.
+// Tests of Leases alone: several gateways, one simulated counter, virtual time. No hosts or requests.
 #include "logic/leases.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   return std::make_shared<Plan>(plan);
 }
 
-// Gateways, the counter that they share, and a clock.
+// Simulates gateways, the counter that they share, and a clock.
 class SimulatedFleet {
  public:
   struct Gateway : Leases::Port {
@@ -112,7 +112,7 @@
     now = end;
   }
 
-  // Requests of one unit that come by chance, so many a second at each gateway.
+  // Poisson arrivals of one-unit requests, with one rate per second for each gateway.
   void Load(const std::string& customer, const std::shared_ptr<const Plan>& plan,
             const std::vector<double>& rates, Duration length) {
     for (std::size_t i = 0; i < rates.size(); ++i) {
@@ -123,7 +123,7 @@
     RunTo(now + length);
   }
 
-  // Units admitted by window, as the clock `ahead` of ours has them, where the first gateway's windows begin.
+  // Units admitted per window, with windows aligned to window_edge.
   std::map<std::int64_t, double> ByWindow(Duration window) const {
     const std::int64_t edge = window_edge.time_since_epoch().count() % window.count();
     std::map<std::int64_t, double> sums;
@@ -132,7 +132,7 @@
     return sums;
   }
 
-  // Finds the window's edge by what a gateway says of a customer's window.
+  // Finds a window edge from the window that a gateway reports for the customer.
   void FindWindowEdge(const std::string& customer, const std::shared_ptr<const Plan>& plan) {
     Gateway probe(*this, 1);
     Leases::Options alone = options;
@@ -179,7 +179,7 @@
   std::vector<std::unique_ptr<Gateway>> nodes;
 };
 
-// Guards the quota: in calm no window of a hot customer gives more, and next to nothing of it is left unused.
+// Without faults no window of a busy customer gives more than the quota, and almost none of it stays unused.
 TEST(LeasesAlone, InCalmNoWindowGivesMoreThanTheQuota) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulatedFleet fleet(4);
@@ -200,7 +200,7 @@
   }
 }
 
-// The old program's way: any span gives no more than a burst and the rate meanwhile.
+// Even refill: any span gives at most a burst plus the rate during the span.
 TEST(LeasesAlone, ComingBackEvenlyAnySpanKeepsToBurstAndRate) {
   SimulatedFleet fleet(4, false);
   const auto plan = Quota(100);
@@ -224,7 +224,7 @@
   fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
   const std::size_t before = fleet.admitted_at.size();
   fleet.counter_down = true;
-  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(2));  // until all have noticed
+  fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(2));  // until all gateways have detected it
   const std::size_t noticed = fleet.admitted_at.size();
   EXPECT_LE(noticed - before, 2.5 * 100);
   fleet.Load("hot", plan, {200, 100, 50, 50}, seconds(10));
@@ -252,7 +252,7 @@
   fleet.Load("hot", plan, {400, 400, 400, 400, 400}, seconds(1));
   EXPECT_NEAR(fleet.Admitted(), 100, 10);
   EXPECT_EQ(fleet.nodes[0]->calls, 0);
-  fleet.options.gateways = 2;  // the others left
+  fleet.options.gateways = 2;  // the other gateways left
   for (auto& g : fleet.nodes) g->leases.Configure(fleet.now, fleet.options);
   fleet.nodes[0]->Ask("unseen", plan);
   EXPECT_DOUBLE_EQ(fleet.nodes[0]->leases.ListCustomers(fleet.now)[0].share, 0.5);
@@ -271,7 +271,7 @@
   ASSERT_EQ(fleet.nodes[0]->refused.size(), 5u);
   for (const auto& [id, wait] : fleet.nodes[0]->refused) {
     EXPECT_GT(wait, seconds(3));
-    EXPECT_LE(wait, milliseconds(3500));  // until the edge
+    EXPECT_LE(wait, milliseconds(3500));  // until the window's edge
   }
   const auto last = fleet.nodes[0]->refused.rbegin()->second;
   fleet.RunTo(fleet.now + last);
@@ -295,12 +295,13 @@
     fleet.RunTo(fleet.now + milliseconds(10));
   }
   EXPECT_EQ(g.admitted.size(), 10u);
-  for (Leases::Claim* claim : claims) g.leases.Release(fleet.now, *claim);  // refused ones give nothing
-  for (Leases::Claim* claim : claims) g.leases.Release(fleet.now, *claim);  // and nobody gives twice
+  for (Leases::Claim* claim : claims) g.leases.Release(fleet.now, *claim);  // refused claims return nothing
+  for (Leases::Claim* claim : claims)
+    g.leases.Release(fleet.now, *claim);  // and no claim returns units twice
   EXPECT_DOUBLE_EQ(g.leases.ListCustomers(fleet.now)[0].leased, 10);
   for (int i = 0; i < 12; ++i) g.Ask("hot", plan);
   EXPECT_EQ(g.admitted.size(), 20u);
-  // What comes back behind the window's edge was of the old window's quota.
+  // Units returned after the window's edge belong to the old window's quota.
   fleet.RunTo(fleet.now + seconds(4));
   g.Ask("hot", plan);
   fleet.RunTo(fleet.now + milliseconds(10));
@@ -344,7 +345,7 @@
   }
 }
 
-// The holder's clock says which window it is: gateways whose own clocks differ share one count by it.
+// The counter holder's clock determines the window, so gateways with different clocks share one counter.
 TEST(LeasesAlone, AnOffsetPutsWrongClocksRight) {
   SimulatedFleet fleet(2);
   const auto plan = Quota(100);
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the decision module: events in by hand, actions out. No bench, no simulator.
+// Tests of the decision module: hand-written events in, actions out. Without bench or simulator.
 #include "logic.hpp"
 
 #include <gtest/gtest.h>
@@ -118,12 +118,12 @@
     return Deliver(e);
   }
 
-  // Answers a request well, if it was let in.
+  // Completes a request successfully, if it was sent.
   void EndIfSent(std::uint64_t id) {
     if (!sent[RequestId{id}].empty()) End(id, Outcome::kOk, true);
   }
 
-  // Lets a counter answer every call among `actions` and those that follow; tells all that was done.
+  // Lets a counter answer every call in `actions` and those that follow. Returns all actions.
   std::vector<Action> ServeCounter(std::map<CounterName, double>& counter, std::vector<Action> actions) {
     for (std::size_t i = 0; i < actions.size(); ++i) {
       const auto* call = std::get_if<AddToCounter>(&actions[i]);
@@ -161,14 +161,14 @@
   return found.empty() ? A{} : found.front();
 }
 
-// Makes the counter silent by failing three calls.
+// Makes the counter unresponsive by failing three calls.
 void MakeCounterUnresponsive(Harness& harness, std::uint64_t first_id) {
   for (std::uint64_t i = 0; i < 3; ++i)
     for (const auto& call : All<AddToCounter>(harness.Arrive(first_id + i, "large", 1, "safe", "silencer")))
       harness.ReplyToCount(call, 0, Outcome::kConnectFailed);
 }
 
-// What malloc has given out and not got back; no more than a guess where a sanitizer replaces it.
+// Bytes that malloc has allocated and not freed; only an estimate where a sanitizer replaces it.
 long HeapInUse() { return static_cast<long>(::mallinfo2().uordblks); }
 
 // One of three hundred gateways.
@@ -178,7 +178,7 @@
   return settings;
 }
 
-// How many requests go out before one does not.
+// How many requests are sent before one is not.
 int SentUntilFull(Harness& harness, std::uint64_t first_id) {
   int sent = 0;
   harness.Arrive(first_id, "free");
@@ -213,7 +213,7 @@
   EXPECT_GT(most, 4);
   EXPECT_LE(most, 400 / 4 / 2 + 1);
   double last = 0;
-  for (int i = 0; i < 12; ++i) {  // a call a window, most of it unused
+  for (int i = 0; i < 12; ++i) {  // one call per window, most of the lease unused
     harness.Advance(seconds(4));
     last = ask();
   }
@@ -245,7 +245,7 @@
     admitted += All<SendAttempt>(harness.ServeCounter(counter, harness.Arrive(id))).size();
   }
   EXPECT_LE(admitted, 10u);
-  EXPECT_GE(admitted, 9u);  // a unit of a lease may idle at a sibling
+  EXPECT_GE(admitted, 9u);  // a leased unit may stay unused at a sibling
 }
 
 TEST(Leases, BeyondTheQuotaIsRefusedWithATimeToComeBackAndNoFurtherAdd) {
@@ -295,7 +295,7 @@
   harness.ReplyToCount(One<AddToCounter>(harness.Arrive(1, "large", 6)), 106);
   harness.ReplyToCount(One<AddToCounter>(harness.Arrive(2, "large", 6)), 6);
   const auto call = One<AddToCounter>(harness.Arrive(3, "large", 6));
-  EXPECT_GE(call.amount, 12);  // six for itself, six put back
+  EXPECT_GE(call.amount, 12);  // six for itself, six added again
 }
 
 TEST(Leases, ARequestTooLargeForTheBurstIsRefusedWithoutAdvice) {
@@ -324,7 +324,7 @@
   EXPECT_EQ(All<SendAttempt>(harness.ServeCounter(counter, harness.Arrive(2, "small", 3))).size(),
             0u);  // 10 - 8 left
   EXPECT_EQ(All<SendAttempt>(harness.ServeCounter(counter, harness.Arrive(3, "small", 2))).size(), 1u);
-  EXPECT_NEAR(counter.begin()->second, 10, 0.01);  // the difference reached the count
+  EXPECT_NEAR(counter.begin()->second, 10, 0.01);  // the difference reached the counter
 }
 
 // ---- Share fallback -------------------------------------------------------------------------------------
@@ -345,7 +345,7 @@
   harness.Deliver(TimerFired{One<SetTimer>(actions).token});
   const auto call = One<AddToCounter>(actions);
   EXPECT_TRUE(All<SendAttempt>(harness.ReplyToCount(call, 2)).empty());
-  // The late units pay for the request that was let in by share: nothing is owed.
+  // The late units cover the request that was admitted by share: nothing is left to post.
   EXPECT_LE(One<AddToCounter>(harness.Arrive(2, "large", 2)).amount, 2.01);
 }
 
@@ -356,7 +356,7 @@
         All<SendAttempt>(harness.ReplyToCount(One<AddToCounter>(harness.Arrive(1, "large", 5)), 0, outcome))
             .size(),
         1u);
-    // Five units were let in by share. An add that timed out may have posted them; one turned away has not.
+    // Five units were admitted by share. An add that timed out may have posted them; a rejected one has not.
     std::vector<AddToCounter> calls;
     for (std::uint64_t id = 2; calls.empty(); ++id) calls = All<AddToCounter>(harness.Arrive(id, "large", 5));
     const double let_in = 5.0 * static_cast<double>(harness.sent.size());
@@ -364,18 +364,18 @@
   }
 }
 
-// Incident i9f522c: the siblings' use guessed during a failed call was taken for a known total, so the next
-// good answer looked like a loss and everything was put back into the count.
+// Incident i9f522c: the siblings' use assumed during a failed call was treated as a known total, so the next
+// good reply looked like a data loss, and everything was added to the counter again.
 TEST(Fallback, AGuessOfTheSiblingsUseIsNotTakenForALoss) {
   Harness harness;
   harness.ReplyToCount(One<AddToCounter>(harness.Arrive(1, "large", 6)), 6);
   harness.ReplyToCount(One<AddToCounter>(harness.Arrive(2, "large", 6)), 0, Outcome::kQueueFull);
   const auto call = One<AddToCounter>(harness.Arrive(3, "large", 6));
-  EXPECT_GE(call.amount, 12);  // its own six, and the six let in by share
+  EXPECT_GE(call.amount, 12);  // its own six, and the six admitted by share
   harness.ReplyToCount(call, 6 + call.amount);
   std::vector<AddToCounter> calls;
   for (std::uint64_t id = 4; calls.empty(); ++id) calls = All<AddToCounter>(harness.Arrive(id, "large", 6));
-  EXPECT_LT(calls[0].amount, 12);  // nothing is put back
+  EXPECT_LT(calls[0].amount, 12);  // nothing is added again
 }
 
 TEST(Fallback, AnUnseenCustomerGetsOneOverItsSetSize) {
@@ -395,7 +395,7 @@
   other.own_index = 1;
   Harness a, b(other);
   std::map<CounterName, double> counter;
-  for (std::uint64_t id = 1; id <= 400; ++id) {  // a quarter of the customer comes through b
+  for (std::uint64_t id = 1; id <= 400; ++id) {  // b receives a quarter of the customer's requests
     Harness& harness = id % 4 ? a : b;
     harness.ServeCounter(counter, harness.Arrive(id, "large"));
     harness.EndIfSent(id);
@@ -508,7 +508,7 @@
   harness.Advance(milliseconds(301));
   const auto late = harness.End(2, Outcome::kReset);
   EXPECT_TRUE(All<SendAttempt>(late).empty());
-  EXPECT_EQ(All<FailRequest>(late).size(), 1u);  // the group is a cell: no refusal either
+  EXPECT_EQ(All<FailRequest>(late).size(), 1u);  // the scope is a cell: no refusal either
 }
 
 TEST(RuleNoRepeat, AttemptsAreBounded) {
@@ -534,7 +534,7 @@
     EXPECT_EQ(harness.sent[RequestId{id}][0].value, 101u);
     harness.End(id, Outcome::kOk, true);
   }
-  harness.Deliver(HostList{HostListKind::kFull, 3, {}});  // absent from a whole list: gone
+  harness.Deliver(HostList{HostListKind::kFull, 3, {}});  // absent from a full list: removed
   EXPECT_EQ(All<RefuseRequest>(harness.Arrive(9, "free")).size(), 1u);
 }
 
@@ -549,10 +549,10 @@
     if (!harness.sent[RequestId{id}].empty()) harness.End(id, Outcome::kQueueFull);
   }
   EXPECT_GE(sent, 1u);
-  EXPECT_LE(sent, 5u);  // nine seconds of a growing part of half an attempt a second; further tries count too
+  EXPECT_LE(sent, 5u);  // nine seconds at a growing part of half an attempt per second; retries count too
 }
 
-// The part of the ceiling that one gateway of two holds: 10 units, 5 a second.
+// Units sent under one gateway's half of the ceiling: 10 units, 5 per second.
 double SentUnderCeiling(Harness& harness, std::uint64_t first_id, int tries, Duration gap) {
   double units = 0;
   std::map<CounterName, double> counter;
@@ -565,7 +565,7 @@
   return units;
 }
 
-// Without a counter nothing but the parts holds the ceiling.
+// Without a counter only the gateways' parts enforce the ceiling.
 Settings WithoutCounter() {
   Settings settings = TestSettings();
   settings.counter.available = false;
@@ -574,7 +574,7 @@
 
 TEST(RuleCeiling, AGatewayPassesOnItsPartWhateverTheQuotaSays) {
   Harness harness(WithoutCounter());
-  EXPECT_EQ(SentUnderCeiling(harness, 1, 20, {}), 0);  // a gateway that starts does not know what was spent
+  EXPECT_EQ(SentUnderCeiling(harness, 1, 20, {}), 0);  // a starting gateway does not know what was spent
   harness.Advance(seconds(60));
   EXPECT_LE(SentUnderCeiling(harness, 100, 50, {}), 10);
   const double in_four_seconds = SentUnderCeiling(harness, 200, 400, milliseconds(10));
@@ -591,7 +591,7 @@
   EXPECT_EQ(SentUnderCeiling(harness, 1, 20, {}), 0);
 }
 
-// A large fleet: a customer's set is fifteen gateways, and its requests gather on few of them.
+// A large fleet: a customer's set has fifteen gateways, and its requests gather on few of them.
 Settings WideSet() {
   Settings settings = TestSettings();
   settings.gateways = 100;
@@ -604,12 +604,12 @@
   return settings;
 }
 
-// Guards against refusing what the quota holds because a gateway's part of the ceiling is small.
+// Guards against refusing requests within the quota because a gateway's part of the ceiling is small.
 TEST(RuleCeiling, ACustomerGatheredOnOneGatewayOfALargeSetIsServedItsQuota) {
   Harness harness(WideSet(), 40);
   std::map<CounterName, double> counter;
   int sent = 0;
-  for (std::uint64_t id = 1; id <= 40; ++id) {  // four a second from the first moment on
+  for (std::uint64_t id = 1; id <= 40; ++id) {  // four per second from the start
     harness.ServeCounter(counter, harness.Arrive(id, "capped", 1, "safe", "c", 15));
     if (!harness.sent[RequestId{id}].empty()) ++sent, harness.End(id, Outcome::kOk, true);
     harness.Advance(milliseconds(250));
@@ -617,9 +617,9 @@
   EXPECT_GE(sent, 38);
 }
 
-// Fifteen gateways that share a counter, a customer that asks for five times its quota, in bursts that gather
-// on one gateway after another; the counter falls silent for 5 s out of 20, or forgets all it had counted.
-// Returns the lowest level of the ceiling's own store.
+// Fifteen gateways share a counter; a customer asks for five times its quota in bursts that gather on one
+// gateway after another. The counter is unresponsive for 5 s out of 20, or loses all its data.
+// Returns the lowest level of a token bucket with the ceiling's rate and burst.
 double LowestOfCeiling(std::uint64_t seed, bool silences, bool forgets, double rate = 5, double burst = 14) {
   std::vector<Harness> harnesses;
   std::mt19937_64 random(seed);
@@ -633,7 +633,7 @@
   std::map<CounterName, double> counter;
   double store = 30, lowest = 30;
   for (std::uint64_t id = 1; id <= 2400; ++id) {
-    const Duration step = milliseconds(id % 120 < 60 ? 4 : 46);  // bursts of 250 a second, then 22
+    const Duration step = milliseconds(id % 120 < 60 ? 4 : 46);  // bursts of 250 per second, then 22
     const bool silent = silences && id % 800 < 200;
     if (forgets && id % 600 == 0) counter.clear();
     Harness& harness = harnesses[random() % 3 == 0 ? random() % 15 : id / 40 % 15];
@@ -657,7 +657,7 @@
     EXPECT_GE(LowestOfCeiling(seed, false, false), -3) << seed;
     EXPECT_GE(LowestOfCeiling(seed, true, false), -3) << seed;
     EXPECT_GE(LowestOfCeiling(seed, true, true), -3) << seed;
-    // A quota as large as the ceiling, which a window's edge would let in twice.
+    // A quota as large as the ceiling, which would be admitted twice around a window's edge.
     EXPECT_GE(LowestOfCeiling(seed, false, false, 10, 30), -3) << seed;
   }
 }
@@ -691,8 +691,8 @@
   EXPECT_EQ(SentUnderCeiling(harness, 500, 50, {}), 0);
 }
 
-// Guards against a table that grows with all who ever came. What is forgotten had refilled, so it is no
-// eviction that empties the parts of others, and those still seen keep what they spent.
+// Guards against a table that grows with every customer ever seen. Forgotten customers had refilled, so this
+// is no eviction that empties the others' ceiling tokens, and active customers keep what they spent.
 TEST(Customers, OnesNotSeenAgainAreForgottenAndNobodysCeilingSuffers) {
   Harness harness(WithoutCounter());
   harness.Advance(seconds(60));
@@ -744,18 +744,17 @@
     }
     return sent;
   };
-  EXPECT_EQ(serve(500), 500u);  // ten seconds: twelve a second and host
+  EXPECT_EQ(serve(500), 500u);  // ten seconds: twelve per second and host
   for (HostEntry& entry : harness.list_) entry.started = harness.now;
   harness.Deliver(HostList{HostListKind::kFull, 2, harness.list_});
-  const std::size_t sent = serve(250);  // five seconds at a fifth and more of that
+  const std::size_t sent = serve(250);  // five seconds at a fifth of that rate or more
   EXPECT_GE(sent, 60u);
   EXPECT_LE(sent, 150u);
 }
 
-// Guards against replacements that idle while the warm hosts drown: a hundred gateways of six requests a
-// second, 60 hosts of which 36 have just come. Each gateway by itself hardly loads a host, so a warm one
-// always looks better than one that can do a fifth of its work, and nobody sends the cold ones what all of
-// them could.
+// Guards against replacement hosts that idle while the warm ones are overloaded: a hundred gateways with six
+// requests per second each, 60 hosts of which 36 have just started. Each gateway by itself barely loads a
+// host, so a warm host always looks better than one with a fifth of its capacity.
 TEST(RuleColdHost, ReplacementsInALargeFleetGetTheirPartAndNoMore) {
   std::size_t warm = 0, cold = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -775,15 +774,14 @@
     serve(200, false);
     for (std::size_t i = 0; i < 36; ++i) harness.list_[i].started = harness.now;
     harness.Deliver(HostList{HostListKind::kFull, 2, harness.list_});
-    serve(50, true);  // eight seconds, in which their part rises from a fifth to 0.84
+    serve(50, true);  // eight seconds, in which their capacity rises from a fifth to 0.84
   }
   const double part = (static_cast<double>(cold) / 36) / (static_cast<double>(warm) / 24);
   EXPECT_GE(part, 0.25);
   EXPECT_LE(part, 0.84);
 }
 
-// The hosts that each of a hundred gateways sends 150 requests to, one a fifth of a second, most answered in
-// time.
+// The hosts that each of a hundred gateways sends 150 requests to, most of them answered in time.
 std::vector<std::map<HostId, int>> HostsUsed(const std::vector<HostEntry>& hosts) {
   std::vector<std::map<HostId, int>> used(100);
   for (int own_index = 0; own_index < 100; ++own_index) {
@@ -798,7 +796,7 @@
       for (HostId host : harness.sent[RequestId{id}]) ++used[static_cast<std::size_t>(own_index)][host];
       harness.Advance(milliseconds(50));
       if (id > 4 && !harness.sent[RequestId{id - 4}].empty())
-        harness.EndAfter(milliseconds(20 + random() % 320), id - 4, Outcome::kOk, true);  // four out
+        harness.EndAfter(milliseconds(20 + random() % 320), id - 4, Outcome::kOk, true);  // four outstanding
     }
   }
   return used;
@@ -811,8 +809,8 @@
   return hosts;
 }
 
-// Guards against a hundred gateways that each meet all hosts: every pair costs a connection, and each gateway
-// learns of a bad host by requests of its own.
+// Guards against a hundred gateways that each use all hosts: every pair costs a connection, and each gateway
+// detects a bad host with its own requests.
 TEST(LargeFleet, EachGatewayKeepsToFewHostsAndEachHostIsKeptToByAsMany) {
   std::map<HostId, int> gateways;
   std::size_t pairs = 0;
@@ -820,15 +818,15 @@
     pairs += used.size();
     for (const auto& [host, count] : used) ++gateways[host];
   }
-  EXPECT_LE(pairs, 100u * 30u);  // of 60; twenty, and some met by chance
+  EXPECT_LE(pairs, 100u * 30u);  // of 60; twenty, and some chosen at random
   EXPECT_EQ(gateways.size(), 60u);
   for (const auto& [host, count] : gateways) {
-    EXPECT_GE(count, 15) << host.value;  // a third of a hundred keep to it
+    EXPECT_GE(count, 15) << host.value;  // a third of a hundred have it in their subset
     EXPECT_LE(count, 60) << host.value;
   }
 }
 
-// One host more moves a gateway's hosts little: what it knows and its connections stay of use.
+// One more host changes a gateway's subset little, so its statistics and connections stay useful.
 TEST(LargeFleet, AHostThatJoinsMovesFewOfTheOthers) {
   const auto before = HostsUsed(HostEntries(60)), after = HostsUsed(HostEntries(61));
   std::size_t kept = 0, all = 0;
@@ -839,9 +837,8 @@
   EXPECT_GE(static_cast<double>(kept), 0.8 * static_cast<double>(all));
 }
 
-// Guards against each of many hosts that are gone, or fail, being tried in turn because those that serve have
-// work. A gateway that has just started with an old list: one host of four still runs, the others refuse
-// connections.
+// Guards against trying each of many failed hosts in turn because the working ones are busy. A gateway has
+// just started with an outdated list: one host of four still runs, the others refuse connections.
 int RefusedByHostsThatAreGone(std::uint64_t seed) {
   Settings settings = TestSettings();
   settings.gateways = 100;
@@ -856,7 +853,7 @@
     }
     harness.Advance(milliseconds(200));
     if (id > 3 && !harness.sent[RequestId{id - 3}].empty())
-      harness.End(id - 3, Outcome::kOk, true);  // three out
+      harness.End(id - 3, Outcome::kOk, true);  // three outstanding
   }
   return refused;
 }
@@ -864,10 +861,10 @@
 TEST(LargeFleet, HostsGoneTogetherAreNotTriedOneByOne) {
   int refused = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) refused += RefusedByHostsThatAreGone(seed);
-  EXPECT_LE(refused, 40 * 25);  // 42 each where nothing is concluded from one host about the next
+  EXPECT_LE(refused, 40 * 25);  // 42 each if one host's failure says nothing about the next
 }
 
-// Guards against a budget that is used up by attempts which cost no host anything.
+// Guards against a retry budget that is used up by attempts that cost no host any work.
 TEST(Retries, AfterAttemptsThatNeverRanTheNextIsFree) {
   Harness harness(TestSettings(), 8);
   for (std::uint64_t id = 1; id <= 100; ++id) {
@@ -933,8 +930,8 @@
   EXPECT_EQ(All<SendAttempt>(harness.Arrive(50, "free")).size(), 1u);
 }
 
-// Incident i0e830b: a quarter of the attempts was reset at most hosts; resting them at each reset threw away
-// the three quarters that they still served. (Guards the outcome; the old rests passed it too at this size.)
+// Incident i0e830b: most hosts reset a quarter of the attempts; ejecting them at each reset lost the three
+// quarters that they still served. (Guards the outcome; the earlier ejection rule also passed at this size.)
 TEST(Hosts, ThoseThatFailNowAndThenStillServeTheirPart) {
   Harness harness(TestSettings(), 8);
   std::map<HostId, int> ended;
@@ -944,7 +941,7 @@
     harness.Arrive(id, "free", 1, "unsafe");
     if (!harness.sent[RequestId{id}].empty()) out.push_back(id);
     harness.Advance(milliseconds(10));
-    if (out.size() < 10) continue;  // some are out at any time, so the good hosts alone are busy
+    if (out.size() < 10) continue;  // some are outstanding at any time, so the good hosts alone are busy
     const std::uint64_t done = out.front();
     out.erase(out.begin());
     const HostId host = harness.sent[RequestId{done}].at(0);
@@ -954,17 +951,17 @@
     harness.End(done, reset ? Outcome::kReset : Outcome::kOk, !reset);
   }
   EXPECT_GT(all, 700);
-  EXPECT_LT(good, all / 2);       // two of eight hosts don't carry most of it
-  EXPECT_GT(good, all * 5 / 16);  // but more than their number
+  EXPECT_LT(good, all / 2);       // two of eight hosts do not carry most of it
+  EXPECT_GT(good, all * 5 / 16);  // but more than their proportion
 }
 
-// Incident ibdacaf: with more than half of the hosts resting none was left out, and the dead ones among them
-// took hundreds of attempts a second.
+// Incident ibdacaf: with more than half of the hosts ejected no host was left out, and the dead ones among
+// them received hundreds of attempts per second.
 TEST(Hosts, DeadOnesAreTriedSparinglyEvenWhereMostAreDead) {
   Harness harness(TestSettings(), 8);
   std::map<HostId, int> sent;
   std::uint64_t id = 0;
-  for (int i = 0; i < 400; ++i) {  // four seconds, six of eight dead, the live ones busy
+  for (int i = 0; i < 400; ++i) {  // four seconds, six of eight hosts dead, the live ones busy
     harness.Arrive(++id, "free");
     const auto& hosts = harness.sent[RequestId{id}];
     for (std::size_t k = 0; k < hosts.size(); ++k) {
@@ -976,11 +973,11 @@
   }
   int dead = 0;
   for (const auto& [host, count] : sent) dead += host.value < 106 ? count : 0;
-  EXPECT_LE(dead, 6 * (3 + 4 * 4));  // three to begin with, then one in 250 ms each
+  EXPECT_LE(dead, 6 * (3 + 4 * 4));  // three at first, then one per 250 ms each
 }
 
-// Incident i19a378: a zone died while the rest was late; with more than half resting, none was left out, and
-// the dead hosts, which hold nothing, looked the least loaded.
+// Incident i19a378: a zone died while the other hosts were late. With more than half ejected no host was left
+// out, and the dead hosts, which have no outstanding work, looked the least loaded.
 TEST(Hosts, DeadOnesDoNotAttractTrafficWhileTheRestIsLate) {
   Harness harness;
   std::uint64_t id = 0;
@@ -988,7 +985,7 @@
   for (int i = 0; i < 200; ++i) {
     harness.Arrive(++id, "free", 1, "unsafe");
     const auto& hosts = harness.sent[RequestId{id}];
-    for (std::size_t k = 0; k < hosts.size(); ++k) {  // further attempts too
+    for (std::size_t k = 0; k < hosts.size(); ++k) {  // retries too
       ++sent[hosts[k]];
       const bool dead = hosts[k].value < 102;
       harness.EndAfter(milliseconds(500), id, dead ? Outcome::kConnectFailed : Outcome::kOk, !dead);
@@ -999,11 +996,10 @@
   EXPECT_GE(sent[HostId{102}] + sent[HostId{103}], 60);
 }
 
-// ---- Determinism ----------------------------------------------------------------------------------------
+// ---- Work limit and large fleets --------------------------------------------------------------------------
 
-// One of hundreds of gateways has less than one attempt as its even part of the room.
-// Guards against answers that are lost on the way: the attempts hang until they are given up, and would keep
-// others out for as long, though no host works on them.
+// Guards against lost responses: their attempts hang until they expire and would use up the work limit until
+// then, although no host works on them.
 TEST(Room, AttemptsThatAreLateHoldNone) {
   std::map<int, int> sent;
   for (const int hanging : {0, 3}) {
@@ -1012,10 +1008,10 @@
       harness.Arrive(id, "free");
       if (id <= 40u - static_cast<std::uint64_t>(hanging)) harness.EndIfSent(id);
     }
-    harness.Advance(milliseconds(300));  // past 0.35 of the aim
+    harness.Advance(milliseconds(300));  // past 0.35 of the latency target
     sent[hanging] = SentUntilFull(harness, 100);
   }
-  EXPECT_GE(sent[3], sent[0] - 3);  // the room is cut by less than one for each, and that is all
+  EXPECT_GE(sent[3], sent[0] - 3);  // the limit is cut by less than one for each, and no more
 }
 
 TEST(Size, AnEvenPartBelowOneAttemptStillLetsRequestsMeetByChance) {
@@ -1023,7 +1019,7 @@
   for (std::uint64_t i = 0; i < 3; ++i)
     EXPECT_EQ(All<SendAttempt>(harness.Arrive(i, "free")).size(), 1u) << i;
   for (std::uint64_t i = 0; i < 3; ++i) harness.End(i, Outcome::kOk, true);
-  for (std::uint64_t i = 10; i < 40; i += 2) {  // answers in time make more room, two at once are enough
+  for (std::uint64_t i = 10; i < 40; i += 2) {  // responses in time raise the limit; two at once suffice
     harness.Arrive(i, "free");
     harness.Arrive(i + 1, "free");
     harness.End(i, Outcome::kOk, true);
@@ -1033,17 +1029,19 @@
     EXPECT_EQ(All<SendAttempt>(harness.Arrive(i, "free")).size(), 1u) << i;
 }
 
-// Hundreds of gateways together ask more of the counter than it serves: most calls went unanswered.
+// Hundreds of gateways together exceeded the counter's capacity: most calls went unanswered.
 TEST(Size, CallsThatAreNotAnsweredBecomeFewerAndComeBack) {
   Harness harness(LargeFleet(), 100);
   std::uint64_t id = 0;
-  const auto calls_in = [&](int requests, bool answered) {  // ten requests a second, each of another customer
+  const auto calls_in = [&](int requests,
+                            bool answered) {  // ten requests per second, each of another customer
     int calls = 0;
     for (int i = 0; i < requests; ++i, ++id) {
       harness.Advance(milliseconds(100));
       for (const auto& call : All<AddToCounter>(harness.Arrive(id, "large", 1, "safe", Name(id)))) {
         ++calls;
-        const bool ok = answered || calls % 2 == 0;  // every other: a crowded counter, not a silent one
+        const bool ok =
+            answered || calls % 2 == 0;  // every other: an overloaded counter, not an unresponsive one
         harness.ReplyToCount(call, call.amount, ok ? Outcome::kOk : Outcome::kQueueFull);
       }
       harness.EndIfSent(id);
@@ -1072,7 +1070,7 @@
   EXPECT_GT(calls[6], 3 * calls[1]);
 }
 
-// Three hundred gateways that each test a silent counter five times a second would keep it down.
+// Three hundred gateways that each probe an unresponsive counter five times per second would keep it down.
 TEST(Size, TestsOfASilentCounterAreFewOverAllGateways) {
   Harness harness(LargeFleet(), 100);
   MakeCounterUnresponsive(harness, 90000);
@@ -1090,7 +1088,7 @@
   EXPECT_LE(tests, 30);
 }
 
-// Incidents ifccfb7, i973625: with one attempt of each of hundreds of gateways the fleet stayed overloaded.
+// Incidents ifccfb7, i973625: one attempt from each of hundreds of gateways kept the fleet overloaded.
 TEST(Size, WorkThatMissesItsAimTakesTheRoomBelowOneAttempt) {
   Harness harness(LargeFleet(), 100);
   std::uint64_t id = 0;
@@ -1113,8 +1111,7 @@
   EXPECT_EQ(sent_of(100, true), 100);
 }
 
-// Incident ia92cd6: two fifths of a hundred listed hosts were dead, and each gateway had to find out about
-// each.
+// Incident ia92cd6: two fifths of a hundred listed hosts were dead, and each gateway had to detect each.
 TEST(Size, AmongAHundredHostsThoseThatServedWellAreReturnedTo) {
   Harness harness(LargeFleet(), 100);
   int failed = 0;
@@ -1133,7 +1130,7 @@
   EXPECT_LT(failed, 20);
 }
 
-// Standard day big-2 of wahldienst-main-later: hosts that failed one class looked healthy by another.
+// Scenario big-2 of wahldienst-main-later: hosts that failed one class looked healthy by another.
 TEST(Size, AHostKnownByOneClassIsNotPreferredForAnother) {
   int followed = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -1142,7 +1139,7 @@
     Harness harness(settings, 100, seed);
     for (std::uint64_t id = 1; id <= 6; ++id) {
       harness.Arrive(id, "free");
-      harness.End(id, Outcome::kOk, true);  // all alike: how slow a host is counts for every class
+      harness.End(id, Outcome::kOk, true);  // all alike: a host's slowness counts for every class
     }
     harness.Arrive(7, "free");
     EXPECT_EQ(harness.sent[RequestId{7}], harness.sent[RequestId{6}]);  // the same class returns
@@ -1150,7 +1147,7 @@
     harness.Arrive(8, "free", 1, "unsafe");
     followed += harness.sent[RequestId{8}] == harness.sent[RequestId{6}];
   }
-  EXPECT_LT(followed, 10);  // met by chance now and then
+  EXPECT_LT(followed, 10);  // chosen at random sometimes
 }
 
 // The same rules at the extremes: sets of one, three and three hundred, one host and a hundred, requests
@@ -1179,8 +1176,8 @@
   }
 }
 
-// Three hundred gateways, a quota of ten: what they pass on together stays near the quota while the counter
-// answers, though each asks for one unit only.
+// Three hundred gateways with a quota of ten: what they send together stays near the quota while the counter
+// answers, although each asks for only one unit.
 TEST(Size, ThreeHundredGatewaysPassOnOneQuotaTogether) {
   std::map<CounterName, double> counter;
   int admitted = 0;
@@ -1193,10 +1190,10 @@
     admitted += static_cast<int>(All<SendAttempt>(actions).size());
   }
   EXPECT_GE(admitted, 10);
-  EXPECT_LE(admitted, 20);  // the window's quota, and what came back since the window began
+  EXPECT_LE(admitted, 20);  // the window's quota plus the refill since its start
 }
 
-// Incident ia92cd6 again: a stranger that looks as good as a host that has just answered is the larger risk.
+// Incident ia92cd6: an untried host that looks as good as one that has just responded is the larger risk.
 TEST(Size, AHostThatAnsweredIsPreferredToAnEqualStranger) {
   Settings settings = TestSettings();
   settings.gateways = 300;
@@ -1211,13 +1208,15 @@
     const HostId host = harness.sent[RequestId{3}].front();
     returned += host == harness.sent[RequestId{1}].front() || host == harness.sent[RequestId{2}].front();
     harness.EndAfter(milliseconds(105), 3, Outcome::kOk,
-                     true);  // hardly slower than the mean, and still known
+                     true);  // barely slower than the mean, and still recent
     harness.Arrive(4, "free");
     returned += harness.sent[RequestId{4}].front() == host;
   }
   EXPECT_EQ(returned, 40);
 }
 
+// ---- Determinism ----------------------------------------------------------------------------------------
+
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
   const auto run = [] {
     Harness harness(TestSettings(), 6, 42);
--- a/tests/presence_test.cpp
+++ b/tests/presence_test.cpp
@@ -1,5 +1,5 @@
-// Gateways that count one another: a split is noticed and told from deaths, and what is no split changes
-// nothing.
+// Tests of Presence: a partition of the counter is detected and told apart from dead gateways, and other
+// disturbances change nothing.
 #include "quota/presence.hpp"
 
 #include <gtest/gtest.h>
@@ -16,14 +16,15 @@
 constexpr Duration kSlot = milliseconds(500);
 const TimePoint kStart{seconds(1'700'000'000)};
 
-// Gateways and a counter in one or two halves, in steps of 5 ms.
+// Gateways and a counter on one or two sides, in steps of 5 ms.
 class PresenceTest : public ::testing::Test {
  protected:
   static constexpr int kGateways = 4;
   PresenceTest() {
     for (int g = 0; g < kGateways; ++g) gateways_.emplace_back(kSlot, static_cast<std::uint64_t>(g + 1));
   }
-  // Each gateway sees the half that `half_of` says; the dead call nobody. `arrivals`: of each, in 50 ms.
+  // Gateways in `second_half` see the second side; dead ones make no calls. `arrivals`: per gateway and 50
+  // ms.
   void Run(Duration length, std::set<int> second_half = {}, std::set<int> dead = {}, int arrivals = 5) {
     for (const TimePoint until = now_ + length; now_ < until; now_ += milliseconds(5)) {
       for (int g = 0; g < kGateways; ++g) {
@@ -61,14 +62,14 @@
   EXPECT_EQ(VisibleFraction(0), 0.75);
   EXPECT_EQ(VisibleFraction(3), 0.25);
   EXPECT_EQ(gateways_[0].undetected_for(), 3 * kSlot);
-  Run(seconds(30), {3});  // longer than what is remembered
+  Run(seconds(30), {3});  // longer than the remembered readings
   EXPECT_EQ(VisibleFraction(0), 0.75);
   EXPECT_EQ(VisibleFraction(3), 0.25);
   Run(3 * kSlot);
   for (int g = 0; g < kGateways; ++g) EXPECT_EQ(VisibleFraction(g), 1);
 }
 
-// Their clients come to those that live: from then on nothing is held back.
+// Once their clients have moved to the live gateways, the whole quota is given out.
 TEST_F(PresenceTest, DeadGatewaysAreTakenForASplitOnlyUntilTheirClientsHaveMoved) {
   Run(seconds(10));
   Run(seconds(2), {}, {3});
@@ -81,8 +82,8 @@
   EXPECT_EQ(VisibleFraction(0), 1);
 }
 
-// What comes by chance is no client of a dead gateway (counter table, split to the end, seed 4: 17% beyond
-// quotas).
+// Random variation must not be taken for clients of a dead gateway (counter table, split to the end, seed 4:
+// 17% beyond quotas).
 TEST_F(PresenceTest, ArrivalsThatVaryDoNotEndASplit) {
   Run(seconds(10));
   for (int i = 0; i < 100; ++i) {
--- a/tests/quota/held_counts_test.cpp
+++ b/tests/quota/held_counts_test.cpp
@@ -1,4 +1,4 @@
-// The count that a member of the core holds, alone. With the gateways that draw on it: quota_test.cpp.
+// Tests of QuotaCounters alone. quota_test.cpp covers them together with gateways.
 #include <boost/test/unit_test.hpp>
 #include <set>
 #include <string>
@@ -23,7 +23,7 @@
   return names;
 }
 
-// ---- The count alone ----------------------------------------------------------------------------------
+// ---- Counters ----------------------------------------------------------------------------------
 
 BOOST_AUTO_TEST_CASE(NothingIsCountedBeforeBeginNorInTheFirstWindow) {
   QuotaCounters counts;
@@ -32,7 +32,7 @@
   BOOST_TEST(!counts.Add(kStart, AddBy("g1", 1, 5)));
   BOOST_TEST(!counts.Add(kStart + milliseconds(999), AddBy("g1", 1, 5)));
   BOOST_TEST(counts.Add(kStart + seconds(1), AddBy("g1", 1, 5)).value() ==
-             5);  // what was refused is not in it
+             5);  // refused adds are not included
   counts.Begin(kStart + seconds(2));
   BOOST_TEST(!counts.Add(kStart + seconds(2), AddBy("g1", 1, 5)));
   counts.Stop();
@@ -72,15 +72,15 @@
   BOOST_TEST(counts.Add(at, AddBy("g1", 1, 50, 100)).value() == 50);
   BOOST_TEST(counts.Add(at, AddBy("g2", 1, 50, 100)).value() == 100);
   counts.SetUnreachable(at, {"g2"}, Names(2));
-  BOOST_TEST(counts.Add(at, AddBy("g1", 1, 0, 100)).value() == 100);  // one that stands keeps its total
+  BOOST_TEST(counts.Add(at, AddBy("g1", 1, 0, 100)).value() == 100);  // an existing counter keeps its total
   BOOST_TEST(counts.Add(at, AddBy("g1", 2, 0, 100)).value() == 50, boost::test_tools::tolerance(1e-9));
-  BOOST_TEST(counts.Add(at, AddBy("g1", 3, 0, 0)).value() == 0);  // no quota is known
-  // One that never used any has its part of the prior; and those that are heard are never starved.
+  BOOST_TEST(counts.Add(at, AddBy("g1", 3, 0, 0)).value() == 0);  // the quota is unknown
+  // A gateway without use gets its part of the prior, and reachable gateways are never starved.
   counts.SetUnreachable(at, {"g3"}, Names(3));
   const double unknown = counts.Add(at, AddBy("g1", 4, 0, 100)).value();
   BOOST_TEST(unknown > 0);
   BOOST_TEST(unknown < 100.0 / 3);
-  // Where no burst covers shares of different ages, by what it used itself and no more.
+  // With no_burst_headroom the reservation is based on the gateway's own use only.
   counts.SetUnreachable(at, {"g2"}, Names(2));
   QuotaCounters::Call no_burst_headroom = AddBy("g1", 7, 0, 100);
   no_burst_headroom.no_burst_headroom = true;
@@ -91,13 +91,13 @@
   BOOST_TEST(counts.Add(at, AddBy("g1", 6, 0, 100)).value() == 0);
 }
 
-// Just after the beginning, those that haven't called yet may still go by their shares.
+// Just after the start, gateways that have not called yet may still go by their shares.
 BOOST_AUTO_TEST_CASE(SharesOfThoseNotBackYetAreTakenOffNewCounts) {
   QuotaCounters counts;
   counts.Begin(kStart);
   counts.SetUnreachable(kStart, {}, Names(4));
   const TimePoint at = kStart + seconds(1);
-  BOOST_TEST(!counts.Add(kStart, AddBy("g1", 1, 0, 100)));  // refused, but heard
+  BOOST_TEST(!counts.Add(kStart, AddBy("g1", 1, 0, 100)));  // refused, but the gateway was heard
   BOOST_TEST(counts.Add(at, AddBy("g1", 1, 0, 100)).value() == 75, boost::test_tools::tolerance(1e-9));
   BOOST_TEST(counts.Add(at, AddBy("g2", 2, 0, 100)).value() == 50, boost::test_tools::tolerance(1e-9));
   counts.Add(at, AddBy("g3", 2, 0, 100));
--- a/tests/quota/model_check_test.cpp
+++ b/tests/quota/model_check_test.cpp
@@ -1,12 +1,12 @@
-// All interleavings, to a depth, of three gateways with the real `Leases` and two members of the core with
-// the real `HeldCounts`, one of which holds a tenant's count: requests at any gateway, adds and their answers
-// that come late, in any order of the gateways, or never; a holder that dies and begins anew, a count that
-// moves to the other member, a gateway that is cut off, and edges of windows in between.
+// Model check, to a bounded depth, of all interleavings of three gateways with the real `Leases` and two core
+// members with the real `QuotaCounters`, one of which holds a tenant's counter: requests at any gateway; adds
+// and replies that are late, reordered between gateways or lost; a holder that crashes and restarts; a
+// counter that moves to the other member; a partitioned gateway; and window edges in between.
 //
-// A state is the steps that led to it: they are played again for each step further. What is looked at: in a
-// window through which every gateway was heard, or its share reserved, by one holder that counted all of it,
-// no more than the quota is let in; in any other window no more than one count's and the shares of the other
-// gateways. Each mutation is one of the model's, around the real parts.
+// A state is the sequence of steps that led to it, replayed for each further step. Invariants: in a window in
+// which one holder counted throughout, and heard every gateway or reserved its share, at most the quota is
+// admitted; in any other window at most one counter's quota plus the shares of the other gateways. The
+// mutations change the model around the real classes.
 #include <algorithm>
 #include <array>
 #include <boost/test/unit_test.hpp>
@@ -31,24 +31,24 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kGateways = 3;
-constexpr int kClaims = 6;        // asked for at once ...
-constexpr double kUnits = 2;      // ... each of so many units
-constexpr double kQuota = 12;     // of a window
-constexpr double kMostShare = 4;  // of it, what a gateway may let in besides while the count fails
+constexpr int kClaims = 6;        // requested at once ...
+constexpr double kUnits = 2;      // ... each of this many units
+constexpr double kQuota = 12;     // per window
+constexpr double kMostShare = 4;  // of kQuota: what a gateway may admit in addition while the counter fails
 constexpr Duration kWindow = seconds(1), kTick = kWindow / 2, kWait = milliseconds(1);
 
 enum class Mutation {
   kNone,
-  kFromZero,             // a holder that begins counts at once, from nothing
-  kKeepBothCounts,       // a count that moves stays where it was, and begins at once where it goes
-  kLeaseOutlivesWindow,  // a lease whose answer comes after its window's edge is held in the next window
-  kCountsSelfOnly,       // a gateway that is cut off takes its own use for all there is
-  kNotReserved,          // those that aren't heard are forgotten at once
+  kFromZero,             // a new holder counts at once, from zero
+  kKeepBothCounts,       // a moved counter stays active at the old holder and counts at once at the new one
+  kLeaseOutlivesWindow,  // a lease that is answered after its window's edge is used in the next window
+  kCountsSelfOnly,       // a partitioned gateway takes its own use for the total
+  kNotReserved,          // no shares are reserved for unreachable gateways
 };
 
 struct Limits {
   int depth = 9;
-  std::size_t states = 150'000;  // no deeper beyond so many
+  std::size_t states = 150'000;  // stops going deeper above this number
   int floods = 6, ticks = 5, crashes = 1, moves = 1, cuts = 1, late = 1;
 };
 
@@ -97,11 +97,11 @@
     window_.undisturbed = true;
   }
 
-  bool Do(Action action) { return ApplyStep(action); }  // false: it can't happen now
+  bool Do(Action action) { return ApplyStep(action); }  // false: not possible in this state
   const std::string& violation() const { return violation_; }
   double most() const { return most_; }
 
-  // All that the future rests on. Gateways are told apart by what they know and have done only.
+  // Everything that determines future behaviour. Gateways are distinguished only by their state.
   std::string Key() const {
     std::vector<std::string> each;
     for (std::size_t i = 0; i < kGateways; ++i) {
@@ -170,9 +170,9 @@
     std::deque<Leases::Claim> claims;
     std::optional<Call> call;
     TimerToken token;
-    std::size_t from = 0;                // the holder it knows of ...
-    bool knows_holder = true;            // ... and whether that is the present one
-    bool cut = false, cut_known = true;  // told: the holder knows whether it is cut
+    std::size_t from = 0;                // the holder it knows ...
+    bool knows_holder = true;            // ... and whether it knows the current one
+    bool cut = false, cut_known = true;  // cut_known: the holder knows whether it is partitioned
   };
   struct Holder {
     QuotaCounters counts;
@@ -276,7 +276,7 @@
         if (!g.call || !g.call->arrived || !Reaches(g)) return false;
         Answer(g);
         return true;
-      case kGiveUp:  // the time is up for all that wait
+      case kGiveUp:  // the wait ends for all waiting claims
         if (late_ == limits_.late || !HasWaiting()) return false;
         ++late_;
         MarkDisturbed();
@@ -304,7 +304,7 @@
         g.SetGatewayCount(static_cast<int>(kGateways));
         UpdateReachability();
         return true;
-      case kNotify:  // the holder that it is cut off, or it where the count stands
+      case kNotify:  // the holder detects the partition, or the gateway learns of the new holder
         if (!g.knows_holder) {
           g.knows_holder = true;
           return true;
@@ -317,7 +317,7 @@
         if (ticks_ == limits_.ticks || (HasWaiting() && ticks_ % 2 == 0)) return false;
         now_ = start_ + ++ticks_ * kTick;
         for (auto& each : gateways_) {
-          // What waits over an edge came just before it; no call is out for longer than a window.
+          // Claims that wait over an edge arrived just before it; no call is pending for more than a window.
           if (each->HasWaiting())
             for (Leases::Claim* claim : each->customer->waiting) claim->arrived = now_;
           if (each->call && each->call->at + kTick < now_) TimeOut(*each);
@@ -365,28 +365,28 @@
     bool heard = holder.up && holder.counts.started() && now_ - holder.started >= kWindow;
     for (auto& g : gateways_) {
       heard = heard && (!g->cut || g->cut_known);
-      g->knows_holder = true;  // by then it is known where the count stands
+      g->knows_holder = true;  // by then the gateways know the holder
     }
     if (!heard) window_.undisturbed = false;
   }
 
   const Mutation mutation_;
   const Limits limits_;
-  // An edge of its windows.
+  // An edge of the tenant's windows.
   const TimePoint start_ =
       TimePoint(seconds(1000)) - Duration(StableHash("anna") % static_cast<std::uint64_t>(kWindow.count()));
   TimePoint now_;
   std::shared_ptr<const Plan> plan_;
   std::array<Holder, 2> holders_;
   std::array<std::unique_ptr<Gateway>, kGateways> gateways_;
-  std::size_t holder_index_ = 0;  // which member holds the count
+  std::size_t holder_index_ = 0;  // which member holds the counter
   int floods_ = 0, ticks_ = 0, crashes_ = 0, moves_ = 0, cuts_ = 0, late_ = 0;
   Window window_, after_;
   double most_ = 0;
   std::string violation_;
 };
 
-// By breadth: the first trace that breaks a promise is a shortest one.
+// Breadth-first search: the first trace that violates an invariant is a shortest one.
 struct Result {
   std::string violation;
   std::size_t states = 0;
@@ -402,7 +402,7 @@
     if (result.states > limits.states) break;
     next.clear();
     for (const auto& path : frontier) {
-      std::unique_ptr<Model> model;  // as long as a step can't happen it stays as it is
+      std::unique_ptr<Model> model;  // reused while steps are not possible
       for (int kind = 0; kind < kKinds; ++kind)
         for (std::uint8_t target = 0; target < (OfGateway(Kind(kind)) ? kGateways : 1); ++target) {
           if (model == nullptr) {
--- a/tests/quota/pressure_test.cpp
+++ b/tests/quota/pressure_test.cpp
@@ -1,5 +1,5 @@
-// Who goes first beyond a quota. One window's units go to who asks first; what is played is a tenant whose
-// requests of three ranks come evenly mixed.
+// Tests of PriorityThrottle. A window's units go to the first requests that ask; the simulated tenant sends
+// evenly mixed requests of three ranks.
 #include <array>
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -21,7 +21,7 @@
   int all() const { return served[0] + served[1] + served[2]; }
 };
 
-// `demand` times 100 units a window for `windows` windows, from the window `from` on.
+// Requests `demand` times 100 units per window, for `windows` windows starting with `from`.
 Served RunWindows(PriorityThrottle& throttle, double demand, int from, int windows, std::mt19937_64& rng) {
   Served result;
   std::uniform_real_distribution<double> chance(0, 1);
@@ -51,10 +51,10 @@
   std::mt19937_64 rng(7);
   RunWindows(throttle, 8, 0, 2, rng);
   const Served hot = RunWindows(throttle, 8, 2, 20, rng);
-  BOOST_TEST(hot.all() == 2000);  // as many as without it: only whose they are has changed
+  BOOST_TEST(hot.all() == 2000);  // as many as without throttling, differently distributed
   BOOST_TEST(hot.served[0] > 1300);
   BOOST_TEST(hot.served[1] > 2 * hot.served[2]);
-  BOOST_TEST(hot.served[2] > 0);  // nobody is shut out
+  BOOST_TEST(hot.served[2] > 0);  // no rank is shut out
 }
 
 BOOST_AUTO_TEST_CASE(WithinTheQuotaNothingIsHeldBack) {
@@ -80,7 +80,7 @@
   const Served first = RunWindows(throttle, 0.9, 10, 3, rng), then = RunWindows(throttle, 0.9, 13, 10, rng);
   BOOST_TEST(first.ServedPart(2) > 0.4);
   BOOST_TEST(then.ServedPart(2) > 0.97);
-  // A pause does as much, and another tenant was never held back.
+  // A pause has the same effect, and another tenant was never throttled.
   RunWindows(throttle, 8, 30, 10, rng);
   BOOST_TEST(throttle.ThrottleLevel(kStart + 60 * kWindow, "tenant", kWindow) < 0.01);
   BOOST_TEST(throttle.ThrottleLevel(kStart + 40 * kWindow, "other", kWindow) == 0);
@@ -95,7 +95,7 @@
   BOOST_TEST(time_spent(1, 350) == 150);
   BOOST_TEST(time_spent(2, 2500) == 0);  // another client's
   BOOST_TEST(time_spent(3, 500) == 2000);
-  BOOST_TEST(time_spent(31, 500) == 2000);  // known for two turns at the most
+  BOOST_TEST(time_spent(31, 500) == 2000);  // remembered for two periods at most
   BOOST_TEST(time_spent(100, 500) == 0);
   BOOST_TEST(throttle.TimeSpent(kStart, "writes", milliseconds(80)) / milliseconds(1) == 0);
 }
@@ -105,7 +105,7 @@
   for (int i = 0; i < 8; ++i) throttle.RecordRefusal(kStart, "hot", kWindow);
   BOOST_TEST(throttle.ThrottleLevel(kStart, "hot", kWindow) == 1.0);
   for (const char* other : {"b", "c"}) throttle.Allow(kStart, other, kWindow, 0, 0);
-  BOOST_TEST(throttle.ThrottleLevel(kStart, "hot", kWindow) == 0);  // forgotten: the careless side
+  BOOST_TEST(throttle.ThrottleLevel(kStart, "hot", kWindow) == 0);  // evicted, so not throttled
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/quota/quota_simulation.hpp
+++ b/tests/quota/quota_simulation.hpp
@@ -1,5 +1,5 @@
-// Gateways, one of which holds the count of a tenant, a clock and streams between them, in virtual time. Its
-// measure is the rule's: the most requests let in within any span of five seconds.
+// Simulates gateways, one of which holds a tenant's counter, and the connections between them, in virtual
+// time. Measures what the quota rule bounds: the most requests admitted within any span of five seconds.
 #pragma once
 
 #include <algorithm>
@@ -27,33 +27,33 @@
 
 enum class Fault {
   kCalm,
-  kPartition,       // three of eleven gateways can't be heard by the holder
+  kPartition,       // the holder cannot reach three of eleven gateways
   kHolderDown,      // killed or frozen
-  kHolderIsolated,  // the holder is cut off from all others, and not counted in a majority any more
-  kRollingRestart,  // all gateways but the holder start anew in turn
-  kMassRestart,     // a third of them are killed at once and come back together
-  kPaused,          // a third of them stand still for a while and go on with what they had
-  kRestartAll,      // every process is killed at once and comes back
+  kHolderIsolated,  // the holder is partitioned from all others and outside the majority
+  kRollingRestart,  // all gateways but the holder restart in turn
+  kMassRestart,     // a third of the gateways are killed at once and restart together
+  kPaused,          // a third of the gateways pause and resume with their old state
+  kRestartAll,      // every process is killed at once and restarts
 };
-// What gateways that are cut off take for the number of all.
+// The fleet size that partitioned gateways assume.
 enum class Views { kKept, kShrunk };
 enum class Demand {
-  kChanging,  // mostly more than it may, of changing parts
-  kSudden,    // nothing for a while, and then six times as much
+  kChanging,  // mostly above the quota, with changing distribution
+  kSudden,    // nothing at first, then six times the rate
   kWithin,    // 0.6 of the rate, evenly
   kGathered,  // the same, all through one gateway
   kHot,       // eight times 0.6 of the rate, evenly, for some seconds
-  kMoving,    // all it may and more through one gateway, another one every two seconds
+  kMoving,    // above the quota through one gateway, a different one every two seconds
   kSpread,    // twice the rate, evenly
 };
 
 struct Quota {
-  double rate = 0, burst = 0;  // as the tenant has it
+  double rate = 0, burst = 0;  // as configured for the tenant
 };
 struct Case {
   Fault fault = Fault::kCalm;
   Demand demand = Demand::kChanging;
-  Duration max_delay = milliseconds(30);  // messages: at most, each way
+  Duration max_delay = milliseconds(30);  // maximum message delay, each way
   Views views = Views::kKept;
   int gateways = 11;
   Duration wait = kCounterWait;
@@ -78,7 +78,7 @@
     if (what.fault != Fault::kCalm) After(kFaultAt + Random(seconds(1)), [this] { Begin(); });
   }
 
-  // The most of any window of five seconds, over what the rule allows.
+  // The most admitted in any five seconds, relative to what the rule allows.
   double Run() {
     while (!pending_.empty() && pending_.top().at < kStart + kRun) {
       const PendingEvent next = pending_.top();
@@ -97,7 +97,7 @@
   std::size_t asked() const { return asked_.size(); }
   std::size_t adds() const { return adds_; }
   const std::vector<Duration>& waits() const { return waits_; }
-  // Of what a bucket of the tenant's rate and burst would have let in, the part that was not let in.
+  // The fraction refused of what a token bucket with the tenant's rate and burst would admit.
   double RefusedWithin() const {
     double level = quota_.burst, owed = 0;
     TimePoint at = kStart;
@@ -128,7 +128,7 @@
     void SetGatewayCount(int gateways) {
       leases->Configure(simulation.now_, MakeLeaseOptions(gateways, simulation.case_.wait, salt, 20));
     }
-    // Its part of the requests changes now and then; sometimes hardly any come.
+    // Its part of the requests changes from time to time, sometimes to almost none.
     void Load() {
       if (simulation.now_ < simulation.surge_at_)
         return simulation.After(simulation.surge_at_ - simulation.now_, [this] { Load(); });
@@ -149,7 +149,7 @@
         if (second >= 5 && second < 20) times *= 8;
         lasts = seconds(5) - (simulation.now_ - kStart) % seconds(5);
       } else if (demand == Demand::kMoving) {
-        // Then, with the fault, all at once.
+        // From the fault on, through all gateways at once.
         const std::int64_t turn = (simulation.now_ - kStart) / seconds(2);
         part = second >= 8 ? 1.0 / n : turn % n == number ? 1 : 0;
         times = second >= 8 ? 4 : 1.5;
@@ -187,7 +187,7 @@
     }
     void WriteLog(const WriteLogLine&) override {}
     Duration ClockOffset(const std::string&) const override { return offset; }
-    // What a gateway that stands still would do is done when it goes on.
+    // Actions of a paused gateway are deferred until it resumes.
     void RunUnlessPaused(Duration delay, std::function<void()> action) {
       simulation.After(delay, [this, incarnation = incarnation, action = std::move(action)] {
         if (incarnation != this->incarnation) return;
@@ -242,7 +242,7 @@
     std::deque<Leases::Claim> claims;
     std::set<std::uint64_t> pending_adds;
     std::vector<std::function<void()>> deferred;
-    TimePoint arrives_at, reply_at;  // when the last message of its stream comes
+    TimePoint arrives_at, reply_at;  // when the last message of its connection arrives
     bool partitioned = false, connected = true, down = false, paused = false;
     int incarnation = 0, queued_requests = 0;
   };
@@ -275,7 +275,7 @@
     counts_.SetUnreachable(now_, unreachable, std::move(all));
   }
 
-  // `gateway` is dead for so long, and its stream comes back a while after.
+  // `gateway` is down for that time, and its connection returns some time later.
   void Kill(Gateway& gateway, Duration down_for) {
     gateway.down = true;
     gateway.connected = false;
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -1,4 +1,4 @@
-// The rule QUOTA over all gateways that draw on a count, in virtual time.
+// The quota rule (QUOTA) over all gateways that share a counter, in virtual time.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -18,8 +18,9 @@
 constexpr Duration kRun = QuotaSimulation::kRun;
 
 struct Result {
-  double worst = 0, let_in = 0, refused = 0, adds = 0;  // of the bound, the rate, what is within, requests
-  double wait_ms = 0;                                   // the 99th percentile
+  double worst = 0, let_in = 0, refused = 0,
+         adds = 0;     // relative to the bound, the rate, requests within the quota, requests
+  double wait_ms = 0;  // the 99th percentile
   std::uint64_t worst_seed = 0;
   int beyond = 0;
 };
@@ -56,23 +57,23 @@
   return result;
 }
 
-// Goes over the bound and is not mended (docs/counting.md, "Open ends"): a tenant with a burst whose requests
-// all move to another gateway while no gateway reaches the holder.
+// Known to exceed the bound (docs/counting.md, "Open ends"): a tenant with a burst whose requests all move to
+// another gateway while no gateway reaches the holder.
 bool IsKnownViolation(Quota quota, Fault fault, Demand demand) {
   return demand == Demand::kMoving && fault == Fault::kHolderIsolated && quota.burst > 0 && quota.rate > 100;
 }
 
 void SearchSeeds(Quota quota, const Case& test_case) {
-  BOOST_TEST(RunCase(quota, test_case, kSeeds).let_in >= 0.7);  // and the quota is given out
+  BOOST_TEST(RunCase(quota, test_case, kSeeds).let_in >= 0.7);  // and the quota is used
 }
 
-// `bursts`: times the rate.
+// `bursts` are multiples of the rate.
 void SearchAll(const std::vector<double>& bursts, const Case& test_case) {
   for (const double rate : {32.0, 150.0, 1000.0})
     for (const double burst : bursts) SearchSeeds({rate, burst * rate}, test_case);
 }
 
-// Messages of up to 30 ms each way, and of up to 5.
+// Message delays of up to 30 ms each way, and of up to 5 ms.
 void SearchFarAndNear(Case test_case) {
   SearchAll({0}, test_case);
   test_case.max_delay = milliseconds(5);
@@ -85,25 +86,25 @@
 
 BOOST_AUTO_TEST_CASE(QuotaInCalm) { SearchAll(kBursts, kCalm); }
 BOOST_AUTO_TEST_CASE(QuotaWhereDemandIsSudden) { SearchAll(kBursts, kSurge); }
-// Those that are cut off go on counting all eleven, as the node does.
+// Partitioned gateways keep eleven as the fleet size, as the node does.
 BOOST_AUTO_TEST_CASE(QuotaWithThreeOfElevenCutOff) { SearchAll(kBursts, kPartition); }
 BOOST_AUTO_TEST_CASE(QuotaWithTheHolderGone) { SearchAll(kBursts, kHolderLost); }
 
-// Without a burst a window lasts half a second, and eleven of them fill the bound: only the slack is left.
+// Without a burst a window lasts half a second, and eleven windows fill the bound: only the slack is left.
 BOOST_AUTO_TEST_CASE(QuotaWithoutABurstInCalm) { SearchFarAndNear(kCalm); }
 BOOST_AUTO_TEST_CASE(QuotaWithoutABurstWhereDemandIsSudden) { SearchFarAndNear(kSurge); }
 BOOST_AUTO_TEST_CASE(QuotaWithoutABurstWithThreeOfElevenCutOff) { SearchFarAndNear(kPartition); }
 BOOST_AUTO_TEST_CASE(QuotaWithoutABurstWithTheHolderGone) { SearchFarAndNear(kHolderLost); }
 
-// ---- Large fleets, and what shares add up to -------------------------------------------------------------
+// ---- Large fleets and sums of shares -------------------------------------------------------------
 
 constexpr std::initializer_list<Fault> kFaults{
     Fault::kCalm,           Fault::kPartition,   Fault::kHolderDown, Fault::kHolderIsolated,
     Fault::kRollingRestart, Fault::kMassRestart, Fault::kPaused,     Fault::kRestartAll};
 constexpr std::initializer_list<Demand> kDemands{Demand::kSudden, Demand::kHot, Demand::kMoving};
 
-// What each gateway used last must not add up: a tenant that moves from gateway to gateway until the count is
-// gone, a large fleet that has used each its one unit of a small quota.
+// The gateways' last uses must not sum to more than the quota: a tenant that moves between gateways until the
+// counter is lost, and a large fleet in which each gateway has used one unit of a small quota.
 BOOST_AUTO_TEST_CASE(SharesOfATenantThatMoves) {
   for (const Fault fault : {Fault::kHolderDown, Fault::kHolderIsolated})
     for (const double rate : {32.0, 150.0})
@@ -119,7 +120,7 @@
         RunCase({rate, 0}, {.fault = fault, .demand = demand, .max_delay = milliseconds(5), .gateways = 91},
                 kFewSeeds);
 }
-// Each trouble with each demand, and one of a quota, by seed.
+// Each fault with each demand, and with one of several quotas.
 BOOST_AUTO_TEST_CASE(AllTroubles) {
   std::uint64_t turn = 0;
   for (const Fault fault : kFaults)
@@ -130,7 +131,7 @@
               kFewSeeds);
     }
 }
-// Where a window gave less than one unit, nothing was let in at all.
+// Guards against windows of less than one unit, which admit nothing.
 BOOST_AUTO_TEST_CASE(SmallQuotasAreGivenOut) {
   for (const double rate : {1.0, 2.5, 5.0, 8.0})
     for (const double burst : {0.0, 1.0})
@@ -139,7 +140,7 @@
               .refused < 0.06);
 }
 
-// By hand: QUOTA_GATEWAYS=91 QUOTA_SEEDS=1000 quota_test --run_test=Distance --log_level=message
+// Run manually: QUOTA_GATEWAYS=91 QUOTA_SEEDS=1000 quota_test --run_test=Distance --log_level=message
 BOOST_AUTO_TEST_SUITE(Distance, *boost::unit_test::disabled())
 BOOST_AUTO_TEST_CASE(ByTrouble) {
   const auto number = [](const char* name, int otherwise) {
@@ -164,9 +165,9 @@
 }
 BOOST_AUTO_TEST_SUITE_END()
 
-// What breaks the rule: `quota_test --run_test=Broken --log_level=message`.
+// Configurations that violate the rule: `quota_test --run_test=Broken --log_level=message`.
 BOOST_AUTO_TEST_SUITE(Broken, *boost::unit_test::disabled())
-// Gateways that are cut off and divide the quota only by those that they still see.
+// Partitioned gateways that divide the quota only among those that they still see.
 BOOST_AUTO_TEST_CASE(CutOffOnesThatSeeNobody) {
   SearchAll({0, 1, 2, 3, 4, 10}, {.fault = Fault::kPartition, .views = Views::kShrunk});
 }
