--- a/src/members/members.cpp
+++ b/src/members/members.cpp
@@ -58,7 +58,7 @@
 };
 
 constexpr std::array<std::pair<std::string_view, HostState>, 3> kStates{
-    {{"active", HostState::kReady}, {"leaving", HostState::kDraining}, {"left", HostState::kGone}}};
+    {{"active", HostState::kReady}, {"leaving", HostState::kDraining}, {"left", HostState::kRemoved}}};
 
 Member ReadMember(const json& object, const std::string& path, std::string& error) {
   ObjectReader reader(object, path, error);
@@ -68,7 +68,7 @@
   entry.zone = reader.Text("az", false);
   entry.kind = reader.Text("model", false);
   entry.cell = reader.Number<std::int64_t>("pod_group", 0);
-  entry.size_hint = reader.Number<double>("capacity_hint", 1);
+  entry.capacity_hint = reader.Number<double>("capacity_hint", 1);
   constexpr std::int64_t kMaxBootMs = std::int64_t{1} << 42;
   const auto boot_ms = std::clamp<std::int64_t>(reader.Number<std::int64_t>("boot_ms", 0), 0, kMaxBootMs);
   entry.started = TimePoint(std::chrono::milliseconds(boot_ms));
@@ -79,8 +79,9 @@
   } else {
     entry.state = found->second;
   }
-  const auto address = ParseAddress(reader.Text("endpoint", entry.state != HostState::kGone));
-  if (!address && entry.state != HostState::kGone) reader.Fail("endpoint", "is not an address with a port");
+  const auto address = ParseAddress(reader.Text("endpoint", entry.state != HostState::kRemoved));
+  if (!address && entry.state != HostState::kRemoved)
+    reader.Fail("endpoint", "is not an address with a port");
   member.address = address.value_or(Address{});
   return member;
 }
--- a/src/registry_replication/watermark.hpp
+++ b/src/registry_replication/watermark.hpp
@@ -2,8 +2,8 @@
 //
 // Leaves are forgotten after some time. A process that was stopped, cut off or restarted meanwhile could then
 // bring a removed host back. Each claim that a host exists is therefore stamped with the watermark of the
-// process that read the host's heartbeat or had its list proved (directory/directory.hpp), and claims with
-// stamps too far behind are rejected.
+// process that read the host's heartbeat or had its list proved (service_registry/service_registry.hpp), and
+// claims with stamps too far behind are rejected.
 //
 // A member increases the watermark once a majority of the epoch's members, all voting, hold the current value
 // on disk and the period has passed on its own clock. So no process has a watermark more than one above what
--- a/src/service_registry/service_registry.hpp
+++ b/src/service_registry/service_registry.hpp
@@ -11,11 +11,11 @@
 // gateway. The other host is removed; a heartbeat of it with a higher sequence takes the address back.
 //
 // A purged entry must not be brought back by a process that was stopped or cut off in the meantime. Each
-// entry therefore carries a stamp: the registry's watermark (registry/watermark.hpp) when a heartbeat of that
-// host was last received, or when a list with the entry was confirmed by a majority. An unknown id is
-// accepted only if its stamp is at most kClaimValidPeriods behind the local watermark, and an entry whose
-// stamp falls further behind is dropped. A departing host is kept until every claim that it is present is too
-// old in this sense; see docs/registry.md, "What is forgotten".
+// entry therefore carries a stamp: the registry's watermark (registry_replication/watermark.hpp) when a
+// heartbeat of that host was last received, or when a list with the entry was confirmed by a majority. An
+// unknown id is accepted only if its stamp is at most kClaimValidPeriods behind the local watermark, and an
+// entry whose stamp falls further behind is dropped. A departing host is kept until every claim that it is
+// present is too old in this sense; see docs/registry.md, "What is forgotten".
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
--- a/tests/host_overrides_test.cpp
+++ b/tests/host_overrides_test.cpp
@@ -17,7 +17,7 @@
 struct HostOverridesTest : ::testing::Test {
   HostState StateAfter(MemberList list) {
     const MemberList applied = overrides.ApplyOverrides(std::move(list));
-    return applied.members.empty() ? HostState::kGone : applied.members.front().entry.state;
+    return applied.members.empty() ? HostState::kRemoved : applied.members.front().entry.state;
   }
   HostOverrides overrides;
   std::optional<MemberList> change;
@@ -30,7 +30,7 @@
   EXPECT_EQ(change->members.front().entry.state, HostState::kDraining);
   EXPECT_EQ(StateAfter({2, false, {Host("a", HostState::kReady, 9)}}),
             HostState::kDraining);  // with a new address
-  EXPECT_EQ(StateAfter({3, false, {Host("a", HostState::kGone)}}), HostState::kGone);
+  EXPECT_EQ(StateAfter({3, false, {Host("a", HostState::kRemoved)}}), HostState::kRemoved);
   EXPECT_EQ(StateAfter({4, false, {Host("a")}}), HostState::kDraining);  // removed and listed again
   EXPECT_EQ(StateAfter({5, true, {Host("a"), Host("b")}}), HostState::kDraining);
   EXPECT_EQ(overrides.listed_suspended_count(), 1u);
