--- a/src/budget/allocation.hpp
+++ b/src/budget/allocation.hpp
@@ -114,7 +114,7 @@
 
   // Units that may be in force anywhere, as far as this divider knows.
   Units Committed(Time now) const;
-  std::size_t lives() const { return accounts_.size(); }
+  std::size_t incarnations() const { return accounts_.size(); }
   Time grants_from() const { return grants_from_; }
   struct Account {
     std::uint64_t sequence = 0;
--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -234,9 +234,10 @@
     if (std::find(votes_.begin(), votes_.end(), self_.incarnation) == votes_.end())
       votes_.push_back(self_.incarnation);
   }
-  const bool won = MajorityOf([this](const Incarnation& life) {
+  const bool won = MajorityOf([this](const Incarnation& incarnation) {
     return std::any_of(votes_.begin(), votes_.end(), [&](const Incarnation& each) {
-      return each == life || (HasFault(ReplicaOptions::Fault::kIgnoreDiskNumber) && each.node == life.node);
+      return each == incarnation ||
+             (HasFault(ReplicaOptions::Fault::kIgnoreDiskNumber) && each.node == incarnation.node);
     });
   });
   if (!won) return;
@@ -244,9 +245,9 @@
   if (role_ == Role::kCandidate) BecomeLeader(now, out);
 }
 
-bool Replica::IsVoter(const Incarnation& life) const {
+bool Replica::IsVoter(const Incarnation& incarnation) const {
   return std::any_of(log_.voters().begin(), log_.voters().end(),
-                     [&](const Member& each) { return each.incarnation == life; });
+                     [&](const Member& each) { return each.incarnation == incarnation; });
 }
 
 // A voter whose removal is not committed yet may stand too: a majority may need its log, and it does not vote
--- a/src/coordination/replica.hpp
+++ b/src/coordination/replica.hpp
@@ -100,7 +100,8 @@
 // The Raft state of one member. See the top of this file.
 class Replica {
  public:
-  // `from_disk` is the state stored on the disk of `self.life` (DecodeReplicaState), empty for a new disk.
+  // `from_disk` is the state stored on the disk of `self.incarnation` (DecodeReplicaState), empty for a new
+  // disk.
   Replica(Member self, ReplicaState from_disk, ReplicaOptions options, std::uint64_t seed);
 
   // The newest snapshot. At start the state machine must be restored from it first; empty: a new state.
@@ -195,7 +196,7 @@
   void MarkHardStateChanged() { ++hard_state_version_; }
   void StartWrite(Time now, ReplicaOutput& out);
   void OnLogTruncated(std::uint64_t last);
-  bool IsVoter(const Incarnation& life) const;
+  bool IsVoter(const Incarnation& incarnation) const;
   bool CanStandForElection() const;
   template <typename Predicate>
   bool MajorityOf(Predicate&& agrees) const {  // whether `agrees` holds for a majority of the voters
@@ -227,8 +228,8 @@
   void ReconcileVoters(Time now, ReplicaOutput& out);
   bool CanChangeVoters() const;
   void ChangeVoters(Time now, std::vector<Member> voters, ReplicaOutput& out);
-  Peer* FindPeer(const Incarnation& life);
-  bool HeardRecently(Time now, const Incarnation& life) const;
+  Peer* FindPeer(const Incarnation& incarnation);
+  bool HeardRecently(Time now, const Incarnation& incarnation) const;
 
   const Member self_;
   const ReplicaOptions options_;
--- a/src/coordination/replica_leader.cpp
+++ b/src/coordination/replica_leader.cpp
@@ -149,8 +149,9 @@
 
 void Replica::TickLeader(Time now, ReplicaOutput& out) {
   if (flush_due_ && now >= *flush_due_) Flush(now, out);
-  const bool heard = MajorityOf(
-      [&](const Incarnation& life) { return life == self_.incarnation || HeardRecently(now, life); });
+  const bool heard = MajorityOf([&](const Incarnation& incarnation) {
+    return incarnation == self_.incarnation || HeardRecently(now, incarnation);
+  });
   if (!heard && now - leader_since_ >= options_.quorum_timeout) {
     SendTimeoutNow(out);
     return BecomeFollower(now, term_, out);
@@ -304,9 +305,9 @@
 void Replica::ConfirmReads(ReplicaOutput& out) {
   while (!pending_reads_.empty()) {
     const std::uint64_t round = pending_reads_.front().round;
-    const bool confirmed = MajorityOf([&](const Incarnation& life) {
-      const Peer* peer = FindPeer(life);
-      return life == self_.incarnation || (peer != nullptr && peer->round >= round);
+    const bool confirmed = MajorityOf([&](const Incarnation& incarnation) {
+      const Peer* peer = FindPeer(incarnation);
+      return incarnation == self_.incarnation || (peer != nullptr && peer->round >= round);
     });
     if (!confirmed) return;
     const auto later = std::find_if(pending_reads_.begin(), pending_reads_.end(),
@@ -325,23 +326,23 @@
 
 // ---- Voters ----
 
-Replica::Peer* Replica::FindPeer(const Incarnation& life) {
+Replica::Peer* Replica::FindPeer(const Incarnation& incarnation) {
   const auto found = std::find_if(peers_.begin(), peers_.end(),
-                                  [&](const Peer& peer) { return peer.member.incarnation == life; });
+                                  [&](const Peer& peer) { return peer.member.incarnation == incarnation; });
   return found == peers_.end() ? nullptr : &*found;
 }
 
-bool Replica::HeardRecently(Time now, const Incarnation& life) const {
+bool Replica::HeardRecently(Time now, const Incarnation& incarnation) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
-    return peer.member.incarnation == life && peer.last_heard != Time{} &&
+    return peer.member.incarnation == incarnation && peer.last_heard != Time{} &&
            now - peer.last_heard < options_.quorum_timeout;
   });
 }
 
 // Keeps one peer for each other voter and each member that is to become one.
 void Replica::UpdatePeers(Time now) {
-  const auto is_needed = [&](const Incarnation& life) {
-    const auto same = [&](const Member& each) { return each.incarnation == life; };
+  const auto is_needed = [&](const Incarnation& incarnation) {
+    const auto same = [&](const Member& each) { return each.incarnation == incarnation; };
     return std::any_of(target_voters_.begin(), target_voters_.end(), same) ||
            std::any_of(log_.voters().begin(), log_.voters().end(), same);
   };
--- a/tests/budget/model_check_test.cpp
+++ b/tests/budget/model_check_test.cpp
@@ -52,7 +52,7 @@
   std::vector<Message> messages;
   std::vector<std::pair<Units, Time>>
       kept_spending;  // for kRestartKeepsSpending: units kept by the new incarnation
-  std::vector<Incarnation> lives;
+  std::vector<Incarnation> incarnations;
   std::uint64_t token = 1;
   int true_time = 100, restarts = 0, moves = 0;
 };
@@ -70,7 +70,7 @@
   std::string Run() {
     State state;
     for (std::size_t g = 0; g < kGateways; ++g) {
-      state.lives.push_back(g + 1);
+      state.incarnations.push_back(g + 1);
       state.parts.emplace_back(terms_, g + 1);
     }
     state.kept_spending.resize(kGateways);
@@ -178,7 +178,8 @@
           Step(std::move(next), depth, requester + " is granted " + std::to_string(grant.part));
         } else {
           AllocationGrant grant = messages.grant;
-          if (mutant_ == Mutant::kGrantOfOtherIncarnation) grant.requester = next.lives[messages.gateway];
+          if (mutant_ == Mutant::kGrantOfOtherIncarnation)
+            grant.requester = next.incarnations[messages.gateway];
           next.parts[messages.gateway].OnGrant(Clock(next, messages.gateway), grant);
           Step(std::move(next), depth, requester + " hears of " + std::to_string(messages.grant.part));
         }
@@ -218,7 +219,7 @@
       if (mutant_ == Mutant::kRestartKeepsSpending)
         next.kept_spending[g] = {next.parts[g].Granted(Clock(next, g)),
                                  Clock(next, g) + terms_.lease.hold_time()};
-      next.lives[g] = g + 11;
+      next.incarnations[g] = g + 11;
       next.parts[g] = Allocation(terms_, g + 11);
       Step(std::move(next), depth, "gateway " + std::to_string(g) + " restarts");
     }
--- a/tests/coordination/history_search_test.cpp
+++ b/tests/coordination/history_search_test.cpp
@@ -178,11 +178,11 @@
     const auto leader = simulation_.cluster.Leader();
     if (!wiped_.empty() || !leader) return false;
     const auto& voters = simulation_.cluster.coordinator(*leader)->replica().voters();
-    std::set<agreement::Incarnation> lives;
-    for (const Member& voter : voters) lives.insert(voter.incarnation);
+    std::set<agreement::Incarnation> incarnations;
+    for (const Member& voter : voters) incarnations.insert(voter.incarnation);
     bool all = voters.size() == membership_.size();
     for (const std::size_t i : membership_)
-      all = all && lives.contains(simulation_.cluster.MemberAt(i).incarnation);
+      all = all && incarnations.contains(simulation_.cluster.MemberAt(i).incarnation);
     return all;
   }
   void ApplyMembership() { simulation_.cluster.SetMembership({membership_.begin(), membership_.end()}); }
