--- a/src/budget/allocation.hpp
+++ b/src/budget/allocation.hpp
@@ -22,6 +22,7 @@
 // Units of the budget: concurrent requests, or thousandths of a rate. Integers, so that sums are exact.
 using Units = std::int64_t;
 
+// Parameters of one budget, equal on both sides.
 struct BudgetTerms {
   Units whole = 0;           // above 0
   Units reserve = 0;         // part of it, reserved for unreachable gateways; 0 to whole
@@ -33,6 +34,7 @@
   Units safe() const { return reserve / static_cast<Units>(std::max<std::size_t>(1, gateways)); }
 };
 
+// A gateway's request to the divider.
 struct AllocationRequest {
   std::uint64_t sequence = 0;  // of this incarnation; increases
   Life requester = 0;
@@ -41,6 +43,7 @@
   Units want = 0;
 };
 
+// The divider's response.
 struct AllocationGrant {
   std::uint64_t sequence = 0;
   Life requester = 0;       // the requester: another incarnation restarts its sequence
@@ -116,6 +119,7 @@
   Units Committed(Time now) const;
   std::size_t lives() const { return accounts_.size(); }
   Time grants_from() const { return grants_from_; }
+  // What the divider knows of one gateway incarnation.
   struct Account {
     std::uint64_t sequence = 0;
     Units reported = 0;  // reported as in force by the last request
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -51,6 +51,7 @@
 enum class LoadReportMode { kNone, kInResponses, kOnProbe };  // how hosts report their load
 enum class CapacityHint { kNone, kNominal, kRough, kLive };
 
+// A class of requests with its latency target, deadline and retry rules.
 struct RequestClass {
   std::string name;
   Duration latency_target{};
@@ -64,6 +65,7 @@
   bool stream = false;
 };
 
+// A customer's plan: rate quota, hard ceiling, concurrency limit and value.
 struct Plan {
   std::string name;
   double rate = 0;  // units per second; 0: no rate quota
@@ -80,6 +82,7 @@
   bool operator==(const Plan&) const = default;
 };
 
+// All settings of a gateway. Immutable once in force; see SettingsChanged.
 struct Settings {
   int own_index = 0;
   int gateways = 1;
@@ -156,6 +159,7 @@
 };
 using LoadReport = std::vector<LoadValue>;
 
+// A back-end host as service discovery lists it.
 struct HostEntry {
   HostId host;
   std::string zone;
@@ -166,12 +170,14 @@
   TimePoint started{};  // zero: long ago
 };
 
+// A full or partial host list from service discovery.
 struct HostList {
   HostListKind kind = HostListKind::kFull;
   std::uint64_t version = 0;
   std::vector<HostEntry> entries;
 };
 
+// A client request arrived.
 struct RequestArrived {
   RequestId id;
   std::string customer;
@@ -192,6 +198,7 @@
   Duration latency{};
 };
 
+// An attempt ended, with or without a response.
 struct AttemptEnded {
   RequestId id;
   int attempt = 0;
@@ -204,6 +211,7 @@
   LoadReport load;
 };
 
+// The client left before it got a response.
 struct RequestAbandoned {
   RequestId id;
 };
@@ -224,6 +232,7 @@
   std::string data;
 };
 
+// The result of an AddToCounter action.
 struct CounterReply {
   CounterName name;
   Outcome outcome = Outcome::kOk;  // kError: added, but the total is unreadable
@@ -249,6 +258,7 @@
 
 // ---- Actions ------------------------------------------------------------------------------------------
 
+// Sends the request to a host.
 struct SendAttempt {
   RequestId id;
   HostId host;
@@ -260,11 +270,13 @@
   int attempt = 0;
 };
 
+// Refuses the request; the client may retry.
 struct RefuseRequest {
   RequestId id;
   Duration retry_after{};  // zero: no Retry-After advice
 };
 
+// Fails the request, which may have run.
 struct FailRequest {
   RequestId id;
 };
@@ -278,6 +290,7 @@
   HostId host;
 };
 
+// Closes the idle connections to a host.
 struct CloseIdle {
   HostId host;
 };
@@ -287,12 +300,14 @@
   std::string data;
 };
 
+// Starts or stops the subscription to host lists.
 struct WatchHosts {
   bool on = true;
 };
 
 struct FetchHostList {};
 
+// Adds to a counter of the counter service; answered by CounterReply.
 struct AddToCounter {
   CounterName name;
   Duration lifetime{};
@@ -309,6 +324,7 @@
 // ---- Learned state ------------------------------------------------------------------------------------
 // Plain values that outlive single requests; an upgrade passes them to the new process.
 
+// Quota state of one customer.
 struct CustomerState {
   std::string name;
   std::string plan_name;  // set in exported state
@@ -334,6 +350,7 @@
   TimePoint plan_changed_at{};
 };
 
+// Health statistics of one host.
 struct HostStats {
   double slowness = 1;  // service time relative to the other hosts
   TimePoint slowness_at{};
@@ -344,10 +361,12 @@
   TimePoint cold_at{};
 };
 
+// Statistics of one request class.
 struct ClassStats {
   double latency = 0, units = 0;  // smoothed, of successful responses
 };
 
+// Quota state across all customers: the counter's health and the call budget.
 struct QuotaState {
   TimePoint last_eviction_at;   // last eviction from a full table, or the start
   double visible_fraction = 1;  // of the usual gateways that see the same counter
@@ -360,6 +379,7 @@
   double mean_stake = 0, mean_admitted = 1, mean_counted = 1;  // value at stake, units admitted, counted
 };
 
+// Load state: the work limit and what it is derived from.
 struct LoadState {
   double mean_units = 0;  // smoothed, of all requests
   double work_limit = 0;  // outstanding work allowed, adapted to latency; 0: not known yet
@@ -373,6 +393,7 @@
 
 struct LocalState : QuotaState, LoadState {};
 
+// Everything that an upgrade passes to the new process.
 struct GatewaySnapshot {
   struct HostRecord {
     HostId host;
@@ -391,6 +412,7 @@
 
 // ---- The gateway --------------------------------------------------------------------------------------
 
+// The decision module of one gateway: events in, actions out. Equal seeds and events give equal actions.
 class Gateway {
  public:
   Gateway(Settings settings, std::uint64_t seed);
--- a/src/logic/gateway.hpp
+++ b/src/logic/gateway.hpp
@@ -19,6 +19,7 @@
 
 using namespace records;  // internal to the module
 
+// Implementation of Gateway; logic.cpp has the details.
 class Gateway::Impl : public Leases::Port {
  public:
   Impl(Settings settings, std::uint64_t seed)
--- a/src/logic/leases.cpp
+++ b/src/logic/leases.cpp
@@ -29,7 +29,7 @@
 constexpr double kCallRateFirst = 1000;  // initial calls per second by all gateways: a small store's capacity
 constexpr double kMinCounted = 0.2;      // of the use: below this, too little to estimate siblings by
 constexpr double kMinVisible = 0.01;     // of a quota: least for one side of a partitioned counter
-constexpr double kCallTokens = 4;        // calls saved up: requests cluster by chance ...
+constexpr double kCallTokens = 4;        // calls saved up: requests come in twos and threes by chance ...
 constexpr double kCallBurst = 0.25;      // ... plus the calls of this many seconds
 constexpr double kCallRateGrowth = 1.04;       // factor on the call rate for an answered call ...
 constexpr double kCallRateCut = 0.7;           // ... and for an unanswered one: balances at one in ten
@@ -247,8 +247,8 @@
   c.lease_at = now_;
   const CounterName name{StableHash(c.name, static_cast<std::uint64_t>(c.window)) >> 1 | 1};
   calls_[name] = &c;
-  const Duration lives = std::min(2 * Window(*c.plan), options_.max_counter_lifetime);
-  port_.Add(c.name, {name, lives, c.call_lease + c.call_unposted});
+  const Duration lifetime = std::min(2 * Window(*c.plan), options_.max_counter_lifetime);
+  port_.Add(c.name, {name, lifetime, c.call_lease + c.call_unposted});
   if (!c.waiting.empty()) port_.StartTimer({TimerToken{name.value}, WaitLeft(c)});
 }
 
@@ -263,9 +263,9 @@
   Customer& c = *it->second;
   calls_.erase(it);
   c.calling = false;
-  const bool ok = event.outcome == Outcome::kOk, spoilt = event.outcome == Outcome::kError;
-  const bool may_be_posted = ok || spoilt || event.outcome == Outcome::kTimeout;
-  if (ok || spoilt || !c.given_up) RecordReply(ok || spoilt);
+  const bool ok = event.outcome == Outcome::kOk, unreadable = event.outcome == Outcome::kError;
+  const bool may_be_posted = ok || unreadable || event.outcome == Outcome::kTimeout;
+  if (ok || unreadable || !c.given_up) RecordReply(ok || unreadable);
   if (ok || c.failed_since == TimePoint{}) c.failed_since = ok ? TimePoint{} : now_;
   // An add that timed out may have arrived, so it is not repeated.
   if (may_be_posted) MarkPosted(c, c.call_unposted);
@@ -357,10 +357,10 @@
   AdvanceWindow(c);
   const double more = actual_units - claim.units;
   claim.units = actual_units;
-  const double from_held = std::min(more, std::max(0.0, c.leased));
-  ChargeLease(c, from_held);
-  c.unposted += more - from_held;
-  Charge(c, more - from_held, 0);
+  const double from_lease = std::min(more, std::max(0.0, c.leased));
+  ChargeLease(c, from_lease);
+  c.unposted += more - from_lease;
+  Charge(c, more - from_lease, 0);
 }
 
 // ---- Share fallback -----------------------------------------------------------------------------------
--- a/src/logic/leases.hpp
+++ b/src/logic/leases.hpp
@@ -26,6 +26,7 @@
 
 namespace curlewdoor {
 
+// Decides claims on quotas for all customers of one gateway.
 class Leases {
  public:
   static const double kShareMemory;  // windows
--- a/src/logic_records.hpp
+++ b/src/logic_records.hpp
@@ -14,6 +14,7 @@
 using Claim = Leases::Claim;
 using Customer = Leases::Customer;
 
+// One attempt to serve a request at a host.
 struct Attempt {
   HostId host;
   TimePoint sent;
@@ -24,17 +25,20 @@
   bool may_have_run = true;  // until an outcome proves otherwise
 };
 
+// When an attempt becomes late.
 struct LateDeadline {
   RequestId id;
   std::size_t attempt;
   TimePoint at;
 };
 
+// Statistics and outstanding attempts of a request class.
 struct ClassState : ClassStats {
   std::deque<LateDeadline> deadlines;  // outstanding attempts in order of when they become late
   std::deque<HostId> recent_hosts;     // hosts that responded in time, the latest first
 };
 
+// An open request and its attempts.
 struct Request : Claim {
   std::shared_ptr<const Settings> settings;  // in force at its arrival, kept to its end
   const RequestClass* traits = nullptr;      // from `settings`
@@ -44,6 +48,7 @@
   std::vector<Attempt> attempts;
 };
 
+// A known host with its statistics and this gateway's load on it.
 struct Host : HostStats {
   HostEntry entry{};
   bool listed = false;
--- a/src/quota/presence.hpp
+++ b/src/quota/presence.hpp
@@ -16,12 +16,14 @@
 
 namespace curlewdoor::quota {
 
+// A counter call that Presence wants made.
 struct PresenceRequest {
   CounterName name;
   double amount = 0;  // 1: announces this gateway; 0: reads the total
   Duration lifetime{};
 };
 
+// The presence estimate of one gateway.
 class Presence {
  public:
   // `slot` is above zero. `seed` spreads the gateways' calls over the slot.
--- a/src/quota/priority_throttle.hpp
+++ b/src/quota/priority_throttle.hpp
@@ -17,6 +17,7 @@
 
 namespace curlewdoor::quota {
 
+// Tracks refusals per tenant and decides which lower-priority requests may ask.
 class PriorityThrottle {
  public:
   struct Options {
--- a/src/quota/quota_counters.hpp
+++ b/src/quota/quota_counters.hpp
@@ -18,6 +18,7 @@
 
 namespace curlewdoor::quota {
 
+// Holds counters and, per tenant, the smoothed use of each gateway.
 class QuotaCounters {
  public:
   explicit QuotaCounters(double slack = 20) : slack_(slack) {}  // of the quota rule, in requests
@@ -25,6 +26,7 @@
   static constexpr std::size_t kMaxCounters = 65'536;  // about 100 bytes each; no further counter is created
   static constexpr std::size_t kMaxUsageEntries = 65'536;  // entries by tenant and gateway
 
+  // One add by a gateway.
   struct Call {
     std::string tenant, gateway;  // `gateway` is the one that adds
     CounterName name;
