--- a/src/console/storage_commands.cpp
+++ b/src/console/storage_commands.cpp
@@ -45,7 +45,7 @@
 
 storage::Records ReadRecords(const std::string& directory) {
   try {
-    return storage::ReadStopped(directory);
+    return storage::ReadOfflineStorage(directory);
   } catch (const storage::StorageError& error) {
     throw CommandError(kRefused, error.what());
   }
--- a/src/storage/inspect.cpp
+++ b/src/storage/inspect.cpp
@@ -14,18 +14,20 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::uintmax_t kMostBytes = 1u << 30;  // a core member holds some megabytes
-constexpr int kMostFiles = 10'000;
+constexpr std::uintmax_t kMaxTotalBytes = 1u << 30;  // a core member stores a few megabytes
+constexpr int kMaxFiles = 10'000;
 
-class Quiet : public leveldb::Logger {
+// Discards the LevelDB info log.
+class NullLogger : public leveldb::Logger {
  public:
   void Logv(const char*, std::va_list) override {}
 };
 
+// A new directory under the system's temporary directory, removed with its contents on destruction.
 struct TemporaryDirectory {
   TemporaryDirectory() {
     std::string name = (fs::temp_directory_path() / "curlewdoor-look-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw StorageError(name + ": no temporary directory");
+    if (::mkdtemp(name.data()) == nullptr) throw StorageError(name + ": can't create a temporary directory");
     path = name;
   }
   ~TemporaryDirectory() {
@@ -37,38 +39,41 @@
   fs::path path;
 };
 
-// Asks for the lock that LevelDB holds and takes none: a member that starts meanwhile must not fail by it.
-void RefuseIfUsed(const fs::path& directory) {
+// Throws StorageError if another process holds the LevelDB lock. Only queries the lock: acquiring it could
+// make a member that starts at the same time fail to open its storage.
+void ThrowIfLocked(const fs::path& directory) {
   const int fd = ::open((directory / "LOCK").c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) return;
   struct flock lock {};
   lock.l_type = F_WRLCK;
   lock.l_whence = SEEK_SET;
-  const bool used = ::fcntl(fd, F_GETLK, &lock) == 0 && lock.l_type != F_UNLCK;
+  const bool locked = ::fcntl(fd, F_GETLK, &lock) == 0 && lock.l_type != F_UNLCK;
   ::close(fd);
-  if (used)
+  if (locked)
     throw StorageError(directory.string() + ": in use by process " + std::to_string(lock.l_pid) +
                        "; stop it first");
 }
 
-void Copy(const fs::path& from, const fs::path& to) {
+// Copies the regular files of `from`, except LOCK. Throws StorageError above the size limits.
+void CopyDatabaseFiles(const fs::path& from, const fs::path& to) {
   std::uintmax_t bytes = 0;
   int files = 0;
   for (const fs::directory_entry& entry : fs::directory_iterator(from)) {
     if (!entry.is_regular_file() || entry.path().filename() == "LOCK") continue;
     bytes += entry.file_size();
-    if (++files > kMostFiles || bytes > kMostBytes)
+    if (++files > kMaxFiles || bytes > kMaxTotalBytes)
       throw StorageError(from.string() + ": too large for a core member");
     fs::copy_file(entry.path(), to / entry.path().filename());
   }
 }
 
-Records ReadAll(const fs::path& directory) {
-  Quiet quiet;
+// Opens the database with paranoid checks, so that any damaged byte is an error, and returns every record.
+Records ReadAllRecords(const fs::path& directory) {
+  NullLogger logger;
   leveldb::Options options;
   options.create_if_missing = false;
   options.paranoid_checks = true;
-  options.info_log = &quiet;
+  options.info_log = &logger;
   leveldb::DB* opened = nullptr;
   leveldb::Status status = leveldb::DB::Open(options, directory.string(), &opened);
   if (!status.ok()) throw StorageError(status.ToString());
@@ -85,18 +90,19 @@
 
 }  // namespace
 
-Records ReadStopped(const std::string& directory) {
+Records ReadOfflineStorage(const std::string& directory) {
   try {
     if (!fs::is_directory(directory)) throw StorageError(directory + ": no such directory");
     if (StorageEmpty(directory)) throw StorageError(directory + ": no storage there (no file CURRENT)");
-    RefuseIfUsed(directory);
+    ThrowIfLocked(directory);
     const TemporaryDirectory copy;
-    Copy(directory, copy.path);
-    RefuseIfUsed(directory);  // it may have been started meanwhile
+    CopyDatabaseFiles(directory, copy.path);
+    ThrowIfLocked(directory);  // a process may have opened it during the copy
     try {
-      return ReadAll(copy.path);
+      return ReadAllRecords(copy.path);
     } catch (const StorageError& error) {
-      std::string text = error.what();  // names the copy, which nobody can look at
+      // The message contains the path of the temporary copy, which is replaced by that of the original.
+      std::string text = error.what();
       const std::string name = copy.path.string();
       for (auto at = text.find(name); at != std::string::npos; at = text.find(name, at))
         text.replace(at, name.size(), directory);
--- a/src/storage/inspect.hpp
+++ b/src/storage/inspect.hpp
@@ -1,5 +1,5 @@
-// A look at the storage of a process that is stopped, for operators. Nothing in its directory is written: the
-// files are copied to a temporary directory, which is opened and removed.
+// Reads the storage of a stopped process, for operator tools. The original directory is never written: its
+// files are copied to a temporary directory, which is opened there and removed afterwards.
 #pragma once
 
 #include <string>
@@ -8,8 +8,9 @@
 
 namespace curlewdoor::storage {
 
-// All records, in the order of their keys; every byte is checked, also what OpenStorage() would leave out as
-// the damaged end of a log. Throws StorageError: not there, in use by a process, too large, or damaged.
-Records ReadStopped(const std::string& directory);
+// Returns all records in key order. Verifies every byte, including a damaged log tail that OpenStorage()
+// would silently discard. Throws StorageError if the storage is missing, in use by a process, too large or
+// damaged.
+Records ReadOfflineStorage(const std::string& directory);
 
 }  // namespace curlewdoor::storage
--- a/src/storage/leveldb_storage.cpp
+++ b/src/storage/leveldb_storage.cpp
@@ -17,67 +17,74 @@
 namespace curlewdoor::storage {
 namespace {
 
-constexpr std::size_t kStack = 128 << 10;
-constexpr std::size_t kWriteBuffer = 256 << 10;
-constexpr std::size_t kBlockCache = 64 << 10;
-constexpr int kOpenFiles = 20;
+constexpr std::size_t kThreadStackBytes = 128 << 10;
+constexpr std::size_t kWriteBufferBytes = 256 << 10;
+constexpr std::size_t kBlockCacheBytes = 64 << 10;
+constexpr int kMaxOpenFiles = 20;
 
-class NoLog : public leveldb::Logger {
+// Discards the LevelDB info log.
+class NullLogger : public leveldb::Logger {
  public:
   void Logv(const char*, std::va_list) override {}
 };
 
-// A renamed name lasts only once its directory is synced, and LevelDB removes the old manifest right after it
-// has renamed CURRENT: without the sync a loss of power could leave a CURRENT that names a file that is gone.
-// A refused sync isn't told to LevelDB (it would remove the new manifest, which CURRENT names by then): files
-// are kept, and nothing is reported as written, until it has been made up for.
-class LastingEnv : public leveldb::EnvWrapper {
+// Syncs the directory after each rename. A rename is durable only after its directory is synced, and LevelDB
+// removes the old manifest right after it renames CURRENT: without the sync, a power failure could leave a
+// CURRENT that refers to a removed file. A failed sync isn't returned to LevelDB, which would then remove the
+// new manifest that CURRENT already refers to. Until a later sync succeeds, no file is removed and no write
+// is reported as successful.
+class DirectorySyncEnv : public leveldb::EnvWrapper {
  public:
-  LastingEnv(leveldb::Env& env, std::string directory, std::function<bool()> sync_folder)
-      : leveldb::EnvWrapper(&env), directory_(std::move(directory)), sync_folder_(std::move(sync_folder)) {}
+  DirectorySyncEnv(leveldb::Env& env, std::string directory, std::function<bool()> sync_directory)
+      : leveldb::EnvWrapper(&env),
+        directory_(std::move(directory)),
+        sync_directory_(std::move(sync_directory)) {}
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override {
     leveldb::Status status = leveldb::EnvWrapper::RenameFile(from, to);
     if (!status.ok()) return status;
-    unsynced_ = true;
-    SyncNames();
+    rename_unsynced_ = true;
+    SyncPendingRenames();
     return status;
   }
   leveldb::Status RemoveFile(const std::string& name) override {
-    if (leveldb::Status status = SyncNames(); !status.ok()) return status;
+    if (leveldb::Status status = SyncPendingRenames(); !status.ok()) return status;
     return leveldb::EnvWrapper::RemoveFile(name);
   }
-  leveldb::Status SyncNames() {
-    if (!unsynced_) return leveldb::Status::OK();
-    if (!sync_folder_()) return leveldb::Status::IOError(directory_, "the directory can't be synced");
-    unsynced_ = false;
+  // Syncs the directory if a rename hasn't been synced yet.
+  leveldb::Status SyncPendingRenames() {
+    if (!rename_unsynced_) return leveldb::Status::OK();
+    if (!sync_directory_()) return leveldb::Status::IOError(directory_, "the directory can't be synced");
+    rename_unsynced_ = false;
     return leveldb::Status::OK();
   }
 
  private:
   std::string directory_;
-  std::function<bool()> sync_folder_;
-  std::atomic<bool> unsynced_ = false;  // a renamed name
+  std::function<bool()> sync_directory_;
+  std::atomic<bool> rename_unsynced_ = false;  // a rename isn't durable yet
 };
 
-bool SyncFolder(const std::string& directory) {
+bool SyncDirectory(const std::string& directory) {
   int fd = open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   bool synced = fd >= 0 && fsync(fd) == 0;
   if (fd >= 0) close(fd);
   return synced;
 }
 
+// Storage in a LevelDB database, written by one background thread.
 class LevelDbStorage : public Storage {
  public:
-  LevelDbStorage(const std::string& directory, leveldb::Env& env, std::function<bool()> sync_folder)
-      : env_(env, directory, std::move(sync_folder)),
-        cache_(leveldb::NewLRUCache(kBlockCache)),
+  LevelDbStorage(const std::string& directory, leveldb::Env& env, std::function<bool()> sync_directory)
+      : env_(env, directory, std::move(sync_directory)),
+        cache_(leveldb::NewLRUCache(kBlockCacheBytes)),
         directory_(directory) {
     if (leveldb::Status status = Open(); !status.ok())
       throw StorageError(directory + ": " + status.ToString());
-    if (pipe2(pipe_, O_CLOEXEC | O_NONBLOCK) != 0) throw StorageError(directory + ": no pipe");
+    if (pipe2(pipe_, O_CLOEXEC | O_NONBLOCK) != 0)
+      throw StorageError(directory + ": can't create the notification pipe");
     if (!StartThread()) {
       ClosePipe();
-      throw StorageError(directory + ": no thread");
+      throw StorageError(directory + ": can't start the writer thread");
     }
   }
 
@@ -105,15 +112,15 @@
   bool Write(std::uint64_t id, Records records) override {
     {
       std::lock_guard lock(mutex_);
-      if (waiting_.size() + results_.size() + (at_work_ ? 1 : 0) >= kMostWaiting) return false;
-      waiting_.emplace_back(id, std::move(records));
+      if (pending_.size() + results_.size() + (writing_ ? 1 : 0) >= kMaxPendingWrites) return false;
+      pending_.emplace_back(id, std::move(records));
     }
     wake_.notify_one();
     return true;
   }
 
-  std::vector<Result> Drain() override {
-    char bytes[kMostWaiting];
+  std::vector<WriteResult> Drain() override {
+    char bytes[kMaxPendingWrites];
     while (read(pipe_[0], bytes, sizeof bytes) > 0) {
     }
     std::lock_guard lock(mutex_);
@@ -127,22 +134,24 @@
     leveldb::Options options;
     options.env = &env_;
     options.create_if_missing = true;
-    options.info_log = &log_;
-    options.write_buffer_size = kWriteBuffer;
+    options.info_log = &logger_;
+    options.write_buffer_size = kWriteBufferBytes;
     options.block_cache = cache_.get();
-    options.max_open_files = kOpenFiles;
+    options.max_open_files = kMaxOpenFiles;
     options.compression = leveldb::kNoCompression;
     leveldb::DB* db = nullptr;
     leveldb::Status status = leveldb::DB::Open(options, directory_, &db);
-    // A manifest whose unsynced end is torn; what was synced stands in the other files.
+    // The unsynced end of a manifest may be torn. RepairDB rebuilds the manifest from the other files, which
+    // hold everything that was synced.
     if (status.IsCorruption() && leveldb::RepairDB(directory_, options).ok())
       status = leveldb::DB::Open(options, directory_, &db);
     if (status.ok()) db_.reset(db);
     return status;
   }
 
-  // LevelDB takes nothing more after a failed sync until it is opened anew.
-  leveldb::Status Store(const Records& records) {
+  // Writes and syncs one batch. After a failed sync, LevelDB rejects all writes until it is reopened, so a
+  // failure closes the database and the next call reopens it.
+  leveldb::Status WriteSynced(const Records& records) {
     if (!db_) {
       if (leveldb::Status status = Open(); !status.ok()) return status;
     }
@@ -151,7 +160,7 @@
     leveldb::WriteOptions options;
     options.sync = true;
     leveldb::Status status = db_->Write(options, &batch);
-    if (status.ok()) status = env_.SyncNames();
+    if (status.ok()) status = env_.SyncPendingRenames();
     if (!status.ok()) db_.reset();
     return status;
   }
@@ -159,14 +168,14 @@
   bool StartThread() {
     pthread_attr_t attributes;
     sigset_t all, before;
-    sigfillset(&all);  // signals are for the owner's thread
+    sigfillset(&all);  // signals are handled by the owner's thread only
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, kStack);
+    pthread_attr_setstacksize(&attributes, kThreadStackBytes);
     pthread_sigmask(SIG_SETMASK, &all, &before);
     int error = pthread_create(
         &thread_, &attributes,
         [](void* self) -> void* {
-          static_cast<LevelDbStorage*>(self)->Work();
+          static_cast<LevelDbStorage*>(self)->RunWriter();
           return nullptr;
         },
         this);
@@ -175,20 +184,21 @@
     return error == 0;
   }
 
-  void Work() {
+  // Writer thread: writes pending batches in order until the destructor sets stop_.
+  void RunWriter() {
     std::unique_lock lock(mutex_);
     while (true) {
-      wake_.wait(lock, [this] { return stop_ || !waiting_.empty(); });
+      wake_.wait(lock, [this] { return stop_ || !pending_.empty(); });
       if (stop_) return;
-      auto [id, records] = std::move(waiting_.front());
-      waiting_.pop_front();
-      at_work_ = true;
+      auto [id, records] = std::move(pending_.front());
+      pending_.pop_front();
+      writing_ = true;
       lock.unlock();
-      leveldb::Status status = Store(records);
+      leveldb::Status status = WriteSynced(records);
       lock.lock();
-      at_work_ = false;
+      writing_ = false;
       results_.push_back({id, status.ok(), status.ok() ? "" : status.ToString()});
-      if (write(pipe_[1], "r", 1) != 1) continue;  // full: readable as it is
+      if (write(pipe_[1], "r", 1) != 1) continue;  // a full pipe is already readable
     }
   }
 
@@ -197,8 +207,8 @@
     close(pipe_[1]);
   }
 
-  NoLog log_;
-  LastingEnv env_;
+  NullLogger logger_;
+  DirectorySyncEnv env_;
   std::unique_ptr<leveldb::Cache> cache_;
   std::string directory_;
   std::unique_ptr<leveldb::DB> db_;
@@ -206,20 +216,20 @@
   pthread_t thread_{};
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<std::pair<std::uint64_t, Records>> waiting_;  // and the rest: under the mutex
-  std::vector<Result> results_;
-  bool at_work_ = false, stop_ = false;
+  std::deque<std::pair<std::uint64_t, Records>> pending_;  // this and the members below: guarded by mutex_
+  std::vector<WriteResult> results_;
+  bool writing_ = false, stop_ = false;
 };
 
 }  // namespace
 
 std::unique_ptr<Storage> OpenStorage(const std::string& directory) {
-  return OpenStorage(directory, *leveldb::Env::Default(), [directory] { return SyncFolder(directory); });
+  return OpenStorage(directory, *leveldb::Env::Default(), [directory] { return SyncDirectory(directory); });
 }
 
 std::unique_ptr<Storage> OpenStorage(const std::string& directory, leveldb::Env& env,
-                                     std::function<bool()> sync_folder) {
-  return std::make_unique<LevelDbStorage>(directory, env, std::move(sync_folder));
+                                     std::function<bool()> sync_directory) {
+  return std::make_unique<LevelDbStorage>(directory, env, std::move(sync_directory));
 }
 
 bool StorageEmpty(const std::string& directory) {
--- a/src/storage/memory_storage.cpp
+++ b/src/storage/memory_storage.cpp
@@ -6,7 +6,8 @@
 namespace curlewdoor::storage {
 
 MemoryStorage::MemoryStorage() {
-  if (pipe2(pipe_, O_CLOEXEC | O_NONBLOCK) != 0) throw StorageError("no pipe for a memory storage");
+  if (pipe2(pipe_, O_CLOEXEC | O_NONBLOCK) != 0)
+    throw StorageError("can't create the notification pipe of a memory storage");
 }
 
 MemoryStorage::~MemoryStorage() {
@@ -21,45 +22,45 @@
 }
 
 bool MemoryStorage::Write(std::uint64_t id, Records records) {
-  if (waiting_.size() + results_.size() >= kMostWaiting) return false;
-  waiting_.emplace_back(id, std::move(records));
-  Work();
+  if (pending_.size() + results_.size() >= kMaxPendingWrites) return false;
+  pending_.emplace_back(id, std::move(records));
+  ApplyPending();
   return true;
 }
 
-void MemoryStorage::Work() {
-  while (!hang_ && !waiting_.empty()) {
-    auto [id, records] = std::move(waiting_.front());
-    waiting_.pop_front();
-    if (!refuse_) {
+void MemoryStorage::ApplyPending() {
+  while (!stall_writes_ && !pending_.empty()) {
+    auto [id, records] = std::move(pending_.front());
+    pending_.pop_front();
+    if (!fail_writes_) {
       for (auto& [key, bytes] : records) records_[key] = std::move(bytes);
     }
-    results_.push_back({id, !refuse_, refuse_ ? "refused" : ""});
-    if (write(pipe_[1], "r", 1) != 1) continue;  // full: readable as it is
+    results_.push_back({id, !fail_writes_, fail_writes_ ? "refused" : ""});
+    if (write(pipe_[1], "r", 1) != 1) continue;  // a full pipe is already readable
   }
 }
 
-std::vector<Result> MemoryStorage::Drain() {
-  char bytes[kMostWaiting];
+std::vector<WriteResult> MemoryStorage::Drain() {
+  char bytes[kMaxPendingWrites];
   while (read(pipe_[0], bytes, sizeof bytes) > 0) {
   }
   return std::exchange(results_, {});
 }
 
-void MemoryStorage::Hang(bool hang) {
-  hang_ = hang;
-  Work();
+void MemoryStorage::StallWrites(bool stall) {
+  stall_writes_ = stall;
+  ApplyPending();
 }
 
-void MemoryStorage::Crash(bool keep) {
-  for (auto& [id, records] : waiting_) {
+void MemoryStorage::Crash(bool persist_pending) {
+  for (auto& [id, records] : pending_) {
     for (auto& [key, bytes] : records) {
-      if (keep) records_[key] = std::move(bytes);
+      if (persist_pending) records_[key] = std::move(bytes);
     }
   }
-  waiting_.clear();
+  pending_.clear();
   Drain();
-  hang_ = refuse_ = false;
+  stall_writes_ = fail_writes_ = false;
 }
 
 }  // namespace curlewdoor::storage
--- a/src/storage/memory_storage.hpp
+++ b/src/storage/memory_storage.hpp
@@ -1,4 +1,5 @@
-// Storage without a disk, for tests: it fails, hangs and crashes when told.
+// Storage in memory, for core members without a data directory and for tests, which can make it fail, stall
+// or crash.
 #pragma once
 
 #include <deque>
@@ -8,6 +9,7 @@
 
 namespace curlewdoor::storage {
 
+// Holds the records of one member in memory. Writes complete within Write() unless stalled.
 class MemoryStorage : public Storage {
  public:
   MemoryStorage();
@@ -17,21 +19,23 @@
 
   std::optional<std::string> Read(const std::string& key) override;
   bool Write(std::uint64_t id, Records records) override;
-  std::vector<Result> Drain() override;
+  std::vector<WriteResult> Drain() override;
   int fd() const override { return pipe_[0]; }
 
-  void Refuse(bool refuse) { refuse_ = refuse; }  // writes from now on fail
-  void Hang(bool hang);                           // writes wait until it is false again
-  // The process dies; with `keep` the writes that wait reach the disk all the same. No result of them comes.
-  void Crash(bool keep);
+  void FailWrites(bool fail) { fail_writes_ = fail; }  // while true, writes fail
+  void StallWrites(bool stall);                        // while true, writes stay pending
+  // Simulates a process crash. Pending writes and results not yet drained are dropped; if `persist_pending`
+  // is true, the records of pending writes are stored nevertheless. Also ends stalling and failing.
+  void Crash(bool persist_pending);
 
  private:
-  void Work();
+  // Applies or fails the pending writes, unless stalled.
+  void ApplyPending();
 
   std::map<std::string, std::string> records_;
-  std::deque<std::pair<std::uint64_t, Records>> waiting_;
-  std::vector<Result> results_;
-  bool refuse_ = false, hang_ = false;
+  std::deque<std::pair<std::uint64_t, Records>> pending_;
+  std::vector<WriteResult> results_;
+  bool fail_writes_ = false, stall_writes_ = false;
   int pipe_[2] = {-1, -1};
 };
 
--- a/src/storage/package.cmake
+++ b/src/storage/package.cmake
@@ -1,4 +1,4 @@
-# What the core has promised, synced to the disk.
+# Durable key-value storage of the core members.
 find_package(Threads REQUIRED)
 add_library(curlewdoor_storage STATIC src/storage/leveldb_storage.cpp src/storage/inspect.cpp
                                     src/storage/memory_storage.cpp)
--- a/src/storage/storage.hpp
+++ b/src/storage/storage.hpp
@@ -1,4 +1,5 @@
-// A few records on the machine's disk, written all at once and synced, by a thread of its own.
+// Durable key-value storage for the few records of a core member. Each write is an atomic batch that is
+// synced to disk by a background thread.
 #pragma once
 
 #include <cstddef>
@@ -17,43 +18,47 @@
 
 namespace curlewdoor::storage {
 
-// The directory can't be opened, or holds what can't be read. The text names it.
+// The storage can't be opened or read. The message contains the reason and usually the directory.
 struct StorageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-using Records = std::vector<std::pair<std::string, std::string>>;  // key, bytes
+using Records = std::vector<std::pair<std::string, std::string>>;  // key and value
 
-struct Result {
+// The outcome of one Storage::Write().
+struct WriteResult {
   std::uint64_t id = 0;
-  bool ok = false;    // false: nothing of it need be there, and something may
-  std::string error;  // when not ok
+  bool ok = false;    // false: the records may or may not be on disk
+  std::string error;  // reason; empty if ok
 };
 
-// Used by one thread, the owner's.
+// Not thread-safe: all calls are made from the thread that owns the object.
 class Storage {
  public:
-  static constexpr std::size_t kMostWaiting = 64;
+  static constexpr std::size_t kMaxPendingWrites = 64;
   virtual ~Storage() = default;
 
-  // Throws StorageError when the disk can't give it. Blocks: for the start alone, before the first
-  // Write().
+  // Returns the value of `key`, or nullopt if it has none. Throws StorageError if it can't be read. Blocks,
+  // so it is meant for startup only, before the first Write().
   virtual std::optional<std::string> Read(const std::string& key) = 0;
-  // Begins to write; a Result with this id comes once all of it is synced. False: kMostWaiting are under way
-  // already, and no Result will come.
+  // Starts an asynchronous write. A WriteResult with this id is reported once all records are synced or the
+  // write has failed. Returns false, and reports no result, if kMaxPendingWrites writes are already pending.
+  // Results that Drain() hasn't returned yet count as pending.
   virtual bool Write(std::uint64_t id, Records records) = 0;
-  // The results so far, in the order of the writes. fd() is readable while there are some.
-  virtual std::vector<Result> Drain() = 0;
+  // Returns and clears the results available so far, in the order of the writes.
+  virtual std::vector<WriteResult> Drain() = 0;
+  // A descriptor that is readable while results are available.
   virtual int fd() const = 0;
 };
 
-// LevelDB in `directory`, which is made if it isn't there (its parent must be). Throws StorageError. The end
-// of a Storage waits for the write at work, and drops those behind it.
+// Opens a LevelDB database in `directory`, which is created if missing (its parent must exist). Throws
+// StorageError. The destructor waits for the write in progress and discards those queued behind it.
 std::unique_ptr<Storage> OpenStorage(const std::string& directory);
-// For tests: on other files than the machine's. `sync_folder` makes the directory's names last.
+// For tests: uses the file system of `env`. `sync_directory` makes the names in the directory durable and
+// returns false if it fails.
 std::unique_ptr<Storage> OpenStorage(const std::string& directory, leveldb::Env& env,
-                                     std::function<bool()> sync_folder);
-// Nothing has been kept there yet, or the directory isn't there.
+                                     std::function<bool()> sync_directory);
+// Returns true if `directory` holds no database (no file CURRENT) or doesn't exist.
 bool StorageEmpty(const std::string& directory);
 
 }  // namespace curlewdoor::storage
--- a/src/system/node_core.cpp
+++ b/src/system/node_core.cpp
@@ -149,7 +149,7 @@
 }
 
 void Node::OnStorage() {
-  for (const storage::Result& result : storage_->Drain()) {
+  for (const storage::WriteResult& result : storage_->Drain()) {
     if (!result.ok) Say(Event::kStorageFailed, result.error);
     if (result.ok && result.id != kHostsWrite) life_kept_ = true;
     if (result.id == kLogWrite) {
--- a/tests/storage/crash_test.cpp
+++ b/tests/storage/crash_test.cpp
@@ -1,6 +1,7 @@
-// The storage on a disk that dies at every one of its operations: what was reported as written is there when
-// it is opened again, whatever became of what wasn't synced; and on a disk that refuses some and goes on. A
-// part of the runs; all: CURLEWDOOR_CRASHES=<torn positions a place>, e.g. 40.
+// Guards against the loss of writes that were reported as successful. Runs the storage on a simulated disk
+// that fails permanently at each of its operations in turn, or for a few operations only, drops or tears the
+// unsynced data, and opens the storage again. Runs a subset of the cases by default; CURLEWDOOR_CRASHES=<torn
+// outcomes per operation>, e.g. 40, runs all of them.
 #include <leveldb/env.h>
 #include <poll.h>
 
@@ -20,30 +21,31 @@
 using leveldb::Slice;
 using leveldb::Status;
 
-constexpr char kFolder[] = "/disk";
-constexpr std::size_t kBuffer = 64 << 10;  // as LevelDB's own files have
+constexpr char kDirectory[] = "/disk";
+constexpr std::size_t kFileBufferBytes = 64 << 10;  // same as LevelDB's POSIX files
 
-// What becomes of what isn't synced.
-enum class Loss { kNothing, kAll, kTorn };  // kNothing: the process dies, the machine stays
+// What a crash does to unsynced data. kNone: only the process crashes, and the machine keeps running.
+enum class UnsyncedLoss { kNone, kAll, kTorn };
 
-struct File {
+// The content of a file, divided into what a crash keeps and what it may lose.
+struct SimulatedFile {
   std::string synced;
-  std::vector<std::string> later;  // written at its end since
+  std::vector<std::string> unsynced;  // appended since the last sync
   std::string Content() const {
     std::string content = synced;
-    for (const std::string& piece : later) content += piece;
+    for (const std::string& piece : unsynced) content += piece;
     return content;
   }
 };
-using FilePtr = std::shared_ptr<File>;
+using SimulatedFilePtr = std::shared_ptr<SimulatedFile>;
 
-// Files in memory, by the rules of docs/core.md, "The disk": a file's bytes and its name last once it was
-// synced, a renamed or removed name once its folder was.
-class Disk : public leveldb::EnvWrapper {
+// Files in memory that follow the rules of docs/core.md, "The disk": the bytes and the name of a file are
+// durable once the file is synced; a rename or removal is durable once the directory is synced.
+class SimulatedDisk : public leveldb::EnvWrapper {
  public:
-  Disk() : EnvWrapper(leveldb::Env::Default()) {}
+  SimulatedDisk() : EnvWrapper(leveldb::Env::Default()) {}
 
-  // Operations `from` to `to` fail (counted from now).
+  // Makes operations `from` (inclusive) to `to` (exclusive) fail, counted from this call.
   void FailAt(std::uint64_t from, std::uint64_t to) {
     std::lock_guard lock(mutex_);
     operations_ = 0;
@@ -55,23 +57,23 @@
     return operations_;
   }
 
-  // No more bytes than these, by all its files.
-  void Bound(std::size_t bytes) {
+  // Limits the total size of all files.
+  void SetCapacity(std::size_t bytes) {
     std::lock_guard lock(mutex_);
-    bound_ = bytes;
+    capacity_ = bytes;
   }
-  std::size_t most_bytes() const {
+  std::size_t peak_bytes() const {
     std::lock_guard lock(mutex_);
-    return most_bytes_;
+    return peak_bytes_;
   }
 
-  // Nobody has it open.
-  void Crash(Loss loss, std::mt19937_64& random) {
+  // Simulates a crash. No storage may have the disk open.
+  void Crash(UnsyncedLoss loss, std::mt19937_64& random) {
     std::lock_guard lock(mutex_);
-    if (loss != Loss::kNothing) {
-      auto names = lasting_;
-      for (const auto& change : changes_) {
-        if (loss == Loss::kAll || random() % 2 == 0) continue;
+    if (loss != UnsyncedLoss::kNone) {
+      auto names = durable_names_;
+      for (const auto& change : unsynced_name_changes_) {
+        if (loss == UnsyncedLoss::kAll || random() % 2 == 0) continue;
         if (change.from.empty() && change.file) names[change.to] = change.file;
         if (!change.from.empty()) names.erase(change.from);
         if (!change.from.empty() && change.file) names[change.to] = change.file;
@@ -79,22 +81,22 @@
       names_ = names;
     }
     for (auto& [name, file] : names_) {
-      if (loss == Loss::kNothing) continue;  // ... and what isn't synced may still be lost later
-      file->synced += loss == Loss::kAll ? "" : Torn(file->later, random);
-      file->later.clear();
+      if (loss == UnsyncedLoss::kNone) continue;  // unsynced data stays, and a later crash may still lose it
+      file->synced += loss == UnsyncedLoss::kAll ? "" : TearWrites(file->unsynced, random);
+      file->unsynced.clear();
     }
-    if (loss != Loss::kNothing) {
-      lasting_ = names_;
-      changes_.clear();
+    if (loss != UnsyncedLoss::kNone) {
+      durable_names_ = names_;
+      unsynced_name_changes_.clear();
     }
     operations_ = 0;
     fail_from_ = fail_to_ = ~0ull;
   }
 
-  bool SyncFolder() {
+  bool SyncDirectory() {
     std::lock_guard lock(mutex_);
-    if (Fails()) return false;
-    LastNames();
+    if (NextOperationFails()) return false;
+    MarkNamesDurable();
     return true;
   }
 
@@ -112,14 +114,14 @@
   Status GetChildren(const std::string&, std::vector<std::string>* children) override {
     std::lock_guard lock(mutex_);
     children->clear();
-    for (const auto& [name, file] : names_) children->push_back(name.substr(sizeof kFolder));
+    for (const auto& [name, file] : names_) children->push_back(name.substr(sizeof kDirectory));
     return Status::OK();
   }
   Status RemoveFile(const std::string& name) override {
     std::lock_guard lock(mutex_);
-    if (Fails()) return Refused(name);
+    if (NextOperationFails()) return InjectedError(name);
     if (names_.erase(name) == 0) return Status::NotFound(name);
-    changes_.push_back({name, "", nullptr});
+    unsynced_name_changes_.push_back({name, "", nullptr});
     return Status::OK();
   }
   Status CreateDir(const std::string&) override { return Status::OK(); }
@@ -132,13 +134,13 @@
   }
   Status RenameFile(const std::string& from, const std::string& to) override {
     std::lock_guard lock(mutex_);
-    if (Fails()) return Refused(from);
+    if (NextOperationFails()) return InjectedError(from);
     auto found = names_.find(from);
     if (found == names_.end()) return Status::NotFound(from);
-    FilePtr file = found->second;
+    SimulatedFilePtr file = found->second;
     names_.erase(found);
     names_[to] = file;
-    changes_.push_back({from, to, file});
+    unsynced_name_changes_.push_back({from, to, file});
     return Status::OK();
   }
   Status LockFile(const std::string&, leveldb::FileLock** lock) override {
@@ -150,50 +152,50 @@
     return Status::OK();
   }
 
-  // For its files.
-  bool Write(const FilePtr& file, std::string bytes) {
+  // Used by the files of this disk.
+  bool Write(const SimulatedFilePtr& file, std::string bytes) {
     std::lock_guard lock(mutex_);
-    if (Fails()) return false;
-    std::size_t all = bytes.size();
+    if (NextOperationFails()) return false;
+    std::size_t total = bytes.size();
     for (const auto& [name, each] : names_) {
-      all += each->synced.size();
-      for (const std::string& piece : each->later) all += piece.size();
+      total += each->synced.size();
+      for (const std::string& piece : each->unsynced) total += piece.size();
     }
-    if (all > bound_) return false;
-    most_bytes_ = std::max(most_bytes_, all);
-    file->later.push_back(std::move(bytes));
+    if (total > capacity_) return false;
+    peak_bytes_ = std::max(peak_bytes_, total);
+    file->unsynced.push_back(std::move(bytes));
     return true;
   }
-  bool Sync(const FilePtr& file, const std::string& name) {
+  bool Sync(const SimulatedFilePtr& file, const std::string& name) {
     std::lock_guard lock(mutex_);
-    if (Fails()) return false;
+    if (NextOperationFails()) return false;
     file->synced = file->Content();
-    file->later.clear();
+    file->unsynced.clear();
     auto found = names_.find(name);
-    if (found != names_.end() && found->second == file) lasting_[name] = file;
+    if (found != names_.end() && found->second == file) durable_names_[name] = file;
     return true;
   }
-  static Status Refused(const std::string& name) { return Status::IOError(name, "refused"); }
+  static Status InjectedError(const std::string& name) { return Status::IOError(name, "refused"); }
 
  private:
   struct Lock : leveldb::FileLock {};
-  struct Change {
-    std::string from, to;  // from none: made; to none: removed
-    FilePtr file;
+  struct NameChange {
+    std::string from, to;  // empty `from`: created; empty `to`: removed
+    SimulatedFilePtr file;
   };
 
-  bool Fails() {
+  bool NextOperationFails() {
     std::uint64_t operation = operations_++;
     return operation >= fail_from_ && operation < fail_to_;
   }
-  void LastNames() {
-    lasting_ = names_;
-    changes_.clear();
+  void MarkNamesDurable() {
+    durable_names_ = names_;
+    unsynced_name_changes_.clear();
   }
-  // Each write is there, missing or torn; what is missing before others is zeros.
-  static std::string Torn(const std::vector<std::string>& pieces, std::mt19937_64& random) {
+  // Keeps, drops or truncates each unsynced write at random. A missing part before a kept one reads as zeros.
+  static std::string TearWrites(const std::vector<std::string>& pieces, std::mt19937_64& random) {
     std::string bytes;
-    std::size_t end = 0;  // of what is there
+    std::size_t end = 0;  // of the kept data
     for (const std::string& piece : pieces) {
       std::size_t at = bytes.size(), kept = 0;
       switch (random() % 3) {
@@ -208,24 +210,25 @@
       }
       bytes += piece.substr(0, kept) + std::string(piece.size() - kept, '\0');
       if (kept > 0) end = at + kept;
-      if (kept > 0 && random() % 8 == 0) end = bytes.size();  // the length was kept, and not the bytes
+      if (kept > 0 && random() % 8 == 0) end = bytes.size();  // the file length is durable, but not the bytes
     }
     bytes.resize(end);
     return bytes;
   }
 
   mutable std::mutex mutex_;
-  std::map<std::string, FilePtr> names_, lasting_;
-  std::vector<Change> changes_;  // of names, since the folder was synced
-  std::size_t bound_ = ~std::size_t{0}, most_bytes_ = 0;
+  std::map<std::string, SimulatedFilePtr> names_, durable_names_;
+  std::vector<NameChange> unsynced_name_changes_;  // since the last sync of the directory
+  std::size_t capacity_ = ~std::size_t{0}, peak_bytes_ = 0;
   std::uint64_t operations_ = 0, fail_from_ = ~0ull, fail_to_ = ~0ull;
 
-  friend class Writing;
+  friend class SimulatedWritableFile;
 };
 
-class Reading : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
+// Reads a snapshot of a file, taken when it was opened.
+class SimulatedReadableFile : public leveldb::SequentialFile, public leveldb::RandomAccessFile {
  public:
-  explicit Reading(std::string content) : content_(std::move(content)) {}
+  explicit SimulatedReadableFile(std::string content) : content_(std::move(content)) {}
   Status Read(std::size_t n, Slice* result, char* scratch) override {
     Status status = Read(at_, n, result, scratch);
     at_ += result->size();
@@ -248,67 +251,70 @@
   std::uint64_t at_ = 0;
 };
 
-class Writing : public leveldb::WritableFile {
+// Buffers writes like LevelDB's POSIX files and passes them to the disk, where they can fail.
+class SimulatedWritableFile : public leveldb::WritableFile {
  public:
-  Writing(Disk& disk, std::string name, FilePtr file)
+  SimulatedWritableFile(SimulatedDisk& disk, std::string name, SimulatedFilePtr file)
       : disk_(disk), name_(std::move(name)), file_(std::move(file)) {}
-  ~Writing() override { Flush(); }
+  ~SimulatedWritableFile() override { Flush(); }
   Status Append(const Slice& data) override {
     buffer_.append(data.data(), data.size());
-    return buffer_.size() < kBuffer ? Status::OK() : Flush();
+    return buffer_.size() < kFileBufferBytes ? Status::OK() : Flush();
   }
   Status Close() override { return Flush(); }
   Status Flush() override {
     if (buffer_.empty()) return Status::OK();
-    return disk_.Write(file_, std::exchange(buffer_, {})) ? Status::OK() : Disk::Refused(name_);
+    return disk_.Write(file_, std::exchange(buffer_, {})) ? Status::OK()
+                                                          : SimulatedDisk::InjectedError(name_);
   }
   Status Sync() override {
-    if (name_.find("MANIFEST") != std::string::npos && !disk_.SyncFolder()) return Disk::Refused(name_);
+    if (name_.find("MANIFEST") != std::string::npos && !disk_.SyncDirectory())
+      return SimulatedDisk::InjectedError(name_);
     if (Status status = Flush(); !status.ok()) return status;
-    return disk_.Sync(file_, name_) ? Status::OK() : Disk::Refused(name_);
+    return disk_.Sync(file_, name_) ? Status::OK() : SimulatedDisk::InjectedError(name_);
   }
 
  private:
-  Disk& disk_;
+  SimulatedDisk& disk_;
   const std::string name_;
-  const FilePtr file_;
+  const SimulatedFilePtr file_;
   std::string buffer_;
 };
 
-Status Disk::NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) {
+Status SimulatedDisk::NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) {
   std::lock_guard lock(mutex_);
   auto found = names_.find(name);
   if (found == names_.end()) return Status::NotFound(name);
-  *file = new Reading(found->second->Content());
+  *file = new SimulatedReadableFile(found->second->Content());
   return Status::OK();
 }
-Status Disk::NewRandomAccessFile(const std::string& name, leveldb::RandomAccessFile** file) {
+Status SimulatedDisk::NewRandomAccessFile(const std::string& name, leveldb::RandomAccessFile** file) {
   std::lock_guard lock(mutex_);
   auto found = names_.find(name);
   if (found == names_.end()) return Status::NotFound(name);
-  *file = new Reading(found->second->Content());
+  *file = new SimulatedReadableFile(found->second->Content());
   return Status::OK();
 }
-Status Disk::NewWritableFile(const std::string& name, leveldb::WritableFile** file) {
+Status SimulatedDisk::NewWritableFile(const std::string& name, leveldb::WritableFile** file) {
   std::lock_guard lock(mutex_);
-  if (Fails()) return Refused(name);
-  FilePtr made = names_[name] = std::make_shared<File>();
-  changes_.push_back({"", name, made});
-  *file = new Writing(*this, name, made);
+  if (NextOperationFails()) return InjectedError(name);
+  SimulatedFilePtr made = names_[name] = std::make_shared<SimulatedFile>();
+  unsynced_name_changes_.push_back({"", name, made});
+  *file = new SimulatedWritableFile(*this, name, made);
   return Status::OK();
 }
 
-// ---- A run ----
+// ---- Test runs ----
 
-std::unique_ptr<Storage> Open(Disk& disk) {
-  return OpenStorage(kFolder, disk, [&disk] { return disk.SyncFolder(); });
+std::unique_ptr<Storage> Open(SimulatedDisk& disk) {
+  return OpenStorage(kDirectory, disk, [&disk] { return disk.SyncDirectory(); });
 }
 
-std::string TextOf(std::uint64_t version) {
+std::string ValueText(std::uint64_t version) {
   return std::to_string(version) + std::string(40'000, static_cast<char>('a' + version % 26));
 }
 
-// What the core does: the state with each write, the value where another is kept.
+// Writes like the core: the state with each write, and the value only if its version has changed.
 struct Writer {
   std::uint64_t attempted = 0, reported = 0, value = 0;
 
@@ -318,7 +324,7 @@
     state.promised.round = id;
     Records records{{agreement::kStateKey, agreement::EncodeState(state)}};
     if (version != value)
-      records.emplace_back(agreement::kValueKey, agreement::EncodeValue({version, TextOf(version)}));
+      records.emplace_back(agreement::kValueKey, agreement::EncodeValue({version, ValueText(version)}));
     BOOST_REQUIRE(storage.Write(id, std::move(records)));
     pollfd wait{storage.fd(), POLLIN, 0};
     BOOST_REQUIRE(poll(&wait, 1, 10000) == 1);
@@ -331,7 +337,8 @@
     return results[0].ok;
   }
 
-  // Empty: all that was reported is there.
+  // Returns an empty string if everything reported as written can be read back, otherwise a description of
+  // the fault.
   std::string Check(Storage& storage) {
     auto state =
         agreement::DecodeState(storage.Read(agreement::kStateKey), storage.Read(agreement::kValueKey));
@@ -340,7 +347,7 @@
     std::string found = "reported " + std::to_string(reported) + " of " + std::to_string(attempted) +
                         ", found " + std::to_string(round) + " with value " + std::to_string(version);
     if (round < reported || round > attempted || version != round - round % 2) return found;
-    if (version > 0 && state->value.text != TextOf(version)) return found + ", of another text";
+    if (version > 0 && state->value.text != ValueText(version)) return found + ", of another text";
     reported = round;
     value = version;
     return {};
@@ -349,23 +356,27 @@
 
 constexpr int kWrites = 30;
 
-std::string Reopen(Disk& disk, Writer& writer) {
+// Opens the storage, checks it and writes once more. Returns a description of the fault, or an empty string.
+std::string Reopen(SimulatedDisk& disk, Writer& writer) {
   try {
     auto storage = Open(disk);
-    if (std::string wrong = writer.Check(*storage); !wrong.empty()) return wrong;
-    if (!writer.Write(*storage)) return "it takes nothing more";
+    if (std::string fault = writer.Check(*storage); !fault.empty()) return fault;
+    if (!writer.Write(*storage)) return "it accepts no more writes";
     return {};
   } catch (const StorageError& error) {
     return std::string("it can't be opened: ") + error.what();
   }
 }
 
-// Operations `from` to `to` of the run fail; then the loss; with `again`, the disk dies once more at that
-// operation of the next opening. `length`: operations of the run.
-std::string Play(std::uint64_t from, std::uint64_t to, Loss loss, std::uint64_t again, std::uint64_t seed,
-                 std::uint64_t* length = nullptr) {
+// Runs the writes with operations `from` (inclusive) to `to` (exclusive) failing, then crashes with `loss`.
+// Unless `second_failure` is ~0, reopens the storage on a disk that fails from that operation of the second
+// run on, and crashes again. `length` receives the number of operations of the first run. Returns a
+// description of the fault, or an empty string.
+std::string RunWithFailures(std::uint64_t from, std::uint64_t to, UnsyncedLoss loss,
+                            std::uint64_t second_failure, std::uint64_t seed,
+                            std::uint64_t* length = nullptr) {
   std::mt19937_64 random(seed);
-  Disk disk;
+  SimulatedDisk disk;
   Writer writer;
   disk.FailAt(from, to);
   try {
@@ -377,11 +388,11 @@
   }
   if (length) *length = disk.operations();
   disk.Crash(loss, random);
-  if (again != ~0ull) {
-    disk.FailAt(again, ~0ull);
+  if (second_failure != ~0ull) {
+    disk.FailAt(second_failure, ~0ull);
     try {
       auto storage = Open(disk);
-      if (std::string wrong = writer.Check(*storage); !wrong.empty()) return wrong;
+      if (std::string fault = writer.Check(*storage); !fault.empty()) return fault;
       for (int i = 0; i < 4 && writer.Write(*storage); ++i) {
       }
     } catch (const StorageError&) {
@@ -391,15 +402,16 @@
   return Reopen(disk, writer);
 }
 
+// How many of the cases to run, from CURLEWDOOR_CRASHES.
 struct Sweep {
-  std::uint64_t torn = 1, step = 3;
-  bool all = false;
+  std::uint64_t torn_seeds = 1, step = 3;
+  bool run_all = false;
   Sweep() {
     const char* crashes = std::getenv("CURLEWDOOR_CRASHES");
     if (!crashes) return;
-    torn = std::strtoull(crashes, nullptr, 10);
+    torn_seeds = std::strtoull(crashes, nullptr, 10);
     step = 1;
-    all = true;
+    run_all = true;
   }
 };
 
@@ -407,40 +419,46 @@
   Sweep sweep;
   std::uint64_t length = 0, restarts = 0;
   auto begun = std::chrono::steady_clock::now();
-  BOOST_TEST(Play(~0ull, ~0ull, Loss::kAll, ~0ull, 1, &length) == "");
+  BOOST_TEST(RunWithFailures(~0ull, ~0ull, UnsyncedLoss::kAll, ~0ull, 1, &length) == "");
   BOOST_TEST(length > 80u);
-  auto play = [&](std::uint64_t from, Loss loss, std::uint64_t again, std::uint64_t seed) {
-    std::string wrong = Play(from, ~0ull, loss, again, seed);
-    restarts += again == ~0ull ? 1 : 2;
-    BOOST_CHECK_MESSAGE(wrong.empty(), "operation " << from << ", loss " << static_cast<int>(loss)
-                                                    << ", then operation " << static_cast<std::int64_t>(again)
-                                                    << ", seed " << seed << ": " << wrong);
+  auto run_and_check = [&](std::uint64_t from, UnsyncedLoss loss, std::uint64_t second_failure,
+                           std::uint64_t seed) {
+    std::string fault = RunWithFailures(from, ~0ull, loss, second_failure, seed);
+    restarts += second_failure == ~0ull ? 1 : 2;
+    BOOST_CHECK_MESSAGE(fault.empty(), "operation " << from << ", loss " << static_cast<int>(loss)
+                                                    << ", then operation "
+                                                    << static_cast<std::int64_t>(second_failure) << ", seed "
+                                                    << seed << ": " << fault);
   };
   for (std::uint64_t k = 0; k <= length; ++k) {
-    play(k, Loss::kNothing, ~0ull, k);
-    play(k, Loss::kAll, ~0ull, k);
-    for (std::uint64_t seed = 0; seed < sweep.torn; ++seed) play(k, Loss::kTorn, ~0ull, seed * 1000 + k);
-    for (std::uint64_t again = 0; again < 24; again += sweep.all ? 1 : 7) {
-      if (k % sweep.step == 0) play(k, again % 2 ? Loss::kTorn : Loss::kAll, again, again * 1000 + k);
+    run_and_check(k, UnsyncedLoss::kNone, ~0ull, k);
+    run_and_check(k, UnsyncedLoss::kAll, ~0ull, k);
+    for (std::uint64_t seed = 0; seed < sweep.torn_seeds; ++seed)
+      run_and_check(k, UnsyncedLoss::kTorn, ~0ull, seed * 1000 + k);
+    for (std::uint64_t second_failure = 0; second_failure < 24; second_failure += sweep.run_all ? 1 : 7) {
+      if (k % sweep.step == 0)
+        run_and_check(k, second_failure % 2 ? UnsyncedLoss::kTorn : UnsyncedLoss::kAll, second_failure,
+                      second_failure * 1000 + k);
     }
   }
   std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - begun;
   BOOST_TEST_MESSAGE(length << " operations, " << restarts << " restarts, " << seconds.count() << " s");
 }
 
-// Refused, full for a while: an error of that write alone, and nothing reported is lost by it.
+// Operations that fail for a while, as on a full disk, fail only the writes concerned and lose nothing that
+// was reported.
 BOOST_AUTO_TEST_CASE(what_was_reported_is_there_after_a_disk_has_refused) {
   Sweep sweep;
   std::uint64_t length = 0, restarts = 0;
-  Play(~0ull, ~0ull, Loss::kAll, ~0ull, 1, &length);
+  RunWithFailures(~0ull, ~0ull, UnsyncedLoss::kAll, ~0ull, 1, &length);
   for (std::uint64_t k = 0; k <= length; ++k) {
     for (std::uint64_t count : {1u, 2u, 5u, 20u}) {
-      for (Loss loss : {Loss::kNothing, Loss::kAll, Loss::kTorn}) {
-        if (!sweep.all && (k + count) % sweep.step != 0) continue;
-        std::string wrong = Play(k, k + count, loss, ~0ull, k);
+      for (UnsyncedLoss loss : {UnsyncedLoss::kNone, UnsyncedLoss::kAll, UnsyncedLoss::kTorn}) {
+        if (!sweep.run_all && (k + count) % sweep.step != 0) continue;
+        std::string fault = RunWithFailures(k, k + count, loss, ~0ull, k);
         ++restarts;
-        BOOST_CHECK_MESSAGE(wrong.empty(), "operations " << k << " and " << count - 1 << " more, loss "
-                                                         << static_cast<int>(loss) << ": " << wrong);
+        BOOST_CHECK_MESSAGE(fault.empty(), "operations " << k << " and " << count - 1 << " more, loss "
+                                                         << static_cast<int>(loss) << ": " << fault);
       }
     }
   }
@@ -449,25 +467,26 @@
 
 BOOST_AUTO_TEST_CASE(a_full_disk_is_an_error_of_each_write_and_loses_nothing) {
   std::mt19937_64 random(1);
-  Disk disk;
-  disk.Bound(400'000);
+  SimulatedDisk disk;
+  disk.SetCapacity(400'000);
   Writer writer;
   auto storage = Open(disk);
   while (writer.attempted < 100 && writer.Write(*storage)) {
   }
   BOOST_TEST(writer.attempted < 100u);
   for (int i = 0; i < 20; ++i) BOOST_TEST((writer.Write(*storage) || writer.reported < writer.attempted));
-  disk.Bound(4'000'000);
+  disk.SetCapacity(4'000'000);
   BOOST_TEST(writer.Write(*storage));
   storage.reset();
-  disk.Crash(Loss::kAll, random);
+  disk.Crash(UnsyncedLoss::kAll, random);
   BOOST_TEST(Reopen(disk, writer) == "");
 }
 
-// Versions come and go: the disk holds a few of them, not all.
+// Guards against replaced values that are never removed: the disk may hold a few versions of a value, not
+// all 60.
 BOOST_AUTO_TEST_CASE(old_values_leave_the_disk) {
   for (std::size_t size : {300'000u, 2'000'000u}) {
-    Disk disk;
+    SimulatedDisk disk;
     auto storage = Open(disk);
     for (std::uint64_t id = 1; id <= 60; ++id) {
       storage->Write(id, {{"value", std::string(size, static_cast<char>('a' + id % 26))}});
@@ -475,8 +494,8 @@
       BOOST_REQUIRE(poll(&wait, 1, 10000) == 1);
       BOOST_TEST(storage->Drain().at(0).ok);
     }
-    BOOST_TEST_MESSAGE("60 values of " << size << " bytes: " << disk.most_bytes() << " at most");
-    BOOST_TEST(disk.most_bytes() < 20 * size);
+    BOOST_TEST_MESSAGE("60 values of " << size << " bytes: " << disk.peak_bytes() << " at most");
+    BOOST_TEST(disk.peak_bytes() < 20 * size);
   }
 }
 
--- a/tests/storage/trouble_test.cpp
+++ b/tests/storage/trouble_test.cpp
@@ -1,4 +1,6 @@
-// Three members on storages that hang or refuse, carried as src/system/node.cpp does it.
+// Guards against a core member that acknowledges what its disk hasn't stored, or that blocks the other
+// members while its disk stalls or fails. Runs three members on memory storages and executes their output as
+// the node does (src/system/node_core.cpp).
 #include <boost/test/unit_test.hpp>
 #include <deque>
 
@@ -23,82 +25,84 @@
   return member;
 }
 
-class Trio {
+// Three core members that exchange messages in memory, without delay or loss.
+class ThreeMemberCluster {
  public:
-  Trio() {
+  ThreeMemberCluster() {
     agreement::CoreState state;
     state.membership.epoch = 1;
     state.membership.initial_size = 3;
     for (std::size_t i = 0; i < 3; ++i) state.membership.members.push_back(MemberOf(i));
     for (std::size_t i = 0; i < 3; ++i)
       cores_[i].emplace(MemberOf(i), false, state, agreement::CoreOptions{}, i);
-    Pass(milliseconds(500));
+    AdvanceTime(milliseconds(500));
   }
 
   void Put(std::size_t i, std::uint64_t version) {
     CoreOutput out;
     cores_[i]->Put(now_, version, {version, "text"}, out);
-    Carry(i, std::move(out));
-    Settle();
+    ExecuteOutput(i, std::move(out));
+    DeliverUntilIdle();
   }
-  void Pass(milliseconds span) {
-    for (auto end = now_ + span; now_ < end;) {
+  void AdvanceTime(milliseconds duration) {
+    for (auto end = now_ + duration; now_ < end;) {
       now_ += milliseconds(50);
       for (std::size_t i = 0; i < 3; ++i) {
         CoreOutput out;
         cores_[i]->Tick(now_, out);
-        Carry(i, std::move(out));
+        ExecuteOutput(i, std::move(out));
       }
-      Settle();
+      DeliverUntilIdle();
     }
   }
   Core& core(std::size_t i) { return *cores_[i]; }
   MemoryStorage& storage(std::size_t i) { return storages_[i]; }
 
-  std::map<std::uint64_t, CallOutcome> done;  // by version
-  std::map<std::size_t, int> promises;        // what each said that rests on its disk
-  int refused = 0, full = 0;                  // writes; and those that the storage didn't take
+  std::map<std::uint64_t, CallOutcome> outcomes;  // by version
+  std::map<std::size_t, int> durable_replies;     // by member: positive replies that require a synced write
+  // Writes that failed, and writes that the storage didn't accept.
+  int failed_writes = 0, rejected_writes = 0;
 
  private:
-  void Carry(std::size_t i, CoreOutput out) {
+  void ExecuteOutput(std::size_t i, CoreOutput out) {
     for (agreement::StorageWrite& write : out.writes) {
       if (storages_[i].Write(write.id, std::move(write.records))) continue;
-      ++full;
+      ++rejected_writes;
       CoreOutput failed;
       cores_[i]->OnWritten(now_, write.id, false, failed);
-      Carry(i, std::move(failed));
+      ExecuteOutput(i, std::move(failed));
     }
     for (agreement::OutgoingMessage& s : out.sends) {
       const auto& body = s.message.body;
       const auto* accepted = std::get_if<agreement::RegisterAccepted>(&body);
-      if (accepted != nullptr && accepted->ok) ++promises[i];
+      if (accepted != nullptr && accepted->ok) ++durable_replies[i];
       const auto* promised = std::get_if<agreement::RegisterPromise>(&body);
-      if (promised != nullptr && promised->ok) ++promises[i];
-      if (std::holds_alternative<agreement::EpochPromise>(body)) ++promises[i];
-      if (std::holds_alternative<agreement::EpochAccepted>(body)) ++promises[i];
+      if (promised != nullptr && promised->ok) ++durable_replies[i];
+      if (std::holds_alternative<agreement::EpochPromise>(body)) ++durable_replies[i];
+      if (std::holds_alternative<agreement::EpochAccepted>(body)) ++durable_replies[i];
       std::size_t to = 0;
       while (MemberOf(to).address != s.to.address) ++to;
-      mail_.emplace_back(to, std::move(s.message));
+      messages_.emplace_back(to, std::move(s.message));
     }
-    for (CallResult& d : out.results) done[d.call] = d.outcome;
+    for (CallResult& call_result : out.results) outcomes[call_result.call] = call_result.outcome;
   }
-  void Settle() {
+  void DeliverUntilIdle() {
     for (bool more = true; more;) {
-      more = !mail_.empty();
+      more = !messages_.empty();
       if (more) {
-        auto [to, message] = std::move(mail_.front());
-        mail_.pop_front();
+        auto [to, message] = std::move(messages_.front());
+        messages_.pop_front();
         CoreOutput out;
         cores_[to]->OnMessage(now_, message, out);
-        Carry(to, std::move(out));
+        ExecuteOutput(to, std::move(out));
       }
       for (std::size_t i = 0; i < 3; ++i) {
-        for (const Result& result : storages_[i].Drain()) {
+        for (const WriteResult& result : storages_[i].Drain()) {
           more = true;
-          refused += result.ok ? 0 : 1;
+          failed_writes += result.ok ? 0 : 1;
           CoreOutput out;
           cores_[i]->OnWritten(now_, result.id, result.ok, out);
-          Carry(i, std::move(out));
+          ExecuteOutput(i, std::move(out));
         }
       }
     }
@@ -107,47 +111,49 @@
   agreement::Time now_ = agreement::Time{} + std::chrono::hours(1);
   std::optional<Core> cores_[3];
   MemoryStorage storages_[3];
-  std::deque<std::pair<std::size_t, agreement::CoreMessage>> mail_;
+  std::deque<std::pair<std::size_t, agreement::CoreMessage>> messages_;
 };
 
-void TroubleAtOne(bool hangs) {
-  Trio trio;
-  auto trouble = [&](std::size_t i, bool on) {
-    hangs ? trio.storage(i).Hang(on) : trio.storage(i).Refuse(on);
+// Makes the storage of one member, then of two, stall or fail, and repairs both.
+void TestFaultyStorage(bool stalls) {
+  ThreeMemberCluster cluster;
+  auto set_fault = [&](std::size_t i, bool on) {
+    stalls ? cluster.storage(i).StallWrites(on) : cluster.storage(i).FailWrites(on);
   };
-  trouble(2, true);
+  set_fault(2, true);
   for (std::uint64_t version = 1; version <= 200; ++version) {
-    trio.Put(version % 3, version);  // at the one in trouble too: the others keep it
-    BOOST_TEST((trio.done[version] == CallOutcome::kInForce));
-    trio.Pass(milliseconds(50));
+    cluster.Put(version % 3, version);  // also at the faulty member: the other two store it
+    BOOST_TEST((cluster.outcomes[version] == CallOutcome::kInForce));
+    cluster.AdvanceTime(milliseconds(50));
   }
-  BOOST_TEST(trio.promises[2] == 0);
-  BOOST_TEST(trio.promises[0] > 100);
-  BOOST_TEST(trio.full == 0);  // one write at a time, whatever comes
-  BOOST_TEST((trio.refused > 0) == !hangs);
-  BOOST_TEST(trio.core(2).committed().version == 200u);  // it answers and learns all the same
+  BOOST_TEST(cluster.durable_replies[2] == 0);
+  BOOST_TEST(cluster.durable_replies[0] > 100);
+  // A member has one write pending at a time, however many requests arrive.
+  BOOST_TEST(cluster.rejected_writes == 0);
+  BOOST_TEST((cluster.failed_writes > 0) == !stalls);
+  BOOST_TEST(cluster.core(2).committed().version == 200u);  // it still answers and learns committed values
 
-  trouble(1, true);  // two of three: nothing is acknowledged
-  trio.Put(0, 201);
-  trio.Pass(milliseconds(1000));
-  BOOST_TEST((trio.done[201] == CallOutcome::kUncertain));
-  trouble(1, false);
-  trouble(2, false);
-  trio.Pass(milliseconds(400));
-  trio.Put(0, 202);
-  BOOST_TEST((trio.done[202] == CallOutcome::kInForce));
-  BOOST_TEST(trio.promises[2] > 0);
+  set_fault(1, true);  // two of three disks are faulty: nothing can be acknowledged
+  cluster.Put(0, 201);
+  cluster.AdvanceTime(milliseconds(1000));
+  BOOST_TEST((cluster.outcomes[201] == CallOutcome::kUncertain));
+  set_fault(1, false);
+  set_fault(2, false);
+  cluster.AdvanceTime(milliseconds(400));
+  cluster.Put(0, 202);
+  BOOST_TEST((cluster.outcomes[202] == CallOutcome::kInForce));
+  BOOST_TEST(cluster.durable_replies[2] > 0);
   for (std::size_t i = 0; i < 3; ++i) {
-    auto state = agreement::DecodeState([&](const std::string& key) { return trio.storage(i).Read(key); });
+    auto state = agreement::DecodeState([&](const std::string& key) { return cluster.storage(i).Read(key); });
     BOOST_TEST(state.value().value.version == 202u);
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_member_whose_disk_hangs_acknowledges_nothing_and_holds_nobody_up) {
-  TroubleAtOne(true);
+  TestFaultyStorage(true);
 }
 BOOST_AUTO_TEST_CASE(a_member_whose_disk_refuses_acknowledges_nothing_and_holds_nobody_up) {
-  TroubleAtOne(false);
+  TestFaultyStorage(false);
 }
 
 }  // namespace
