--- a/src/app/handing.cpp
+++ b/src/app/handing.cpp
@@ -37,7 +37,7 @@
   if (down_ == nullptr) return;
   if (predecessor_.handed_on()) PassStreams();
   const bool held = !predecessor_.serves() && !predecessor_.handed_on();
-  Do(predecessor_.Look(parts_.inputs.Now(), held ? parts_.core.undecided() : 0));
+  Do(predecessor_.Look(parts_.inputs.Now(), held ? parts_.core.unassigned_requests() : 0));
 }
 
 // ---- The new process ----------------------------------------------------------------------------------
@@ -80,8 +80,8 @@
   if (!snapshot) return parts_.logger.Warning("upgrade: the snapshot {}; beginning as after a start", error);
   parts_.by_hand.AddSuspended(snapshot->out_by_hand);
   MemberList list = list_told_ ? parts_.by_hand.list() : std::move(snapshot->members);
-  parts_.inputs.Post(MembersTold{std::move(list), !list_told_});
-  parts_.core.TakeOver(snapshot->memory);
+  parts_.inputs.Post(MembersReceived{std::move(list), !list_told_});
+  parts_.core.ImportState(snapshot->memory);
   parts_.logger.Info("upgrade: took over {} customers, {} hosts, {} of them out by hand, {} open requests",
                      snapshot->memory.customers.size(), snapshot->memory.hosts.size(),
                      snapshot->out_by_hand.size(), snapshot->open_ids.size());
@@ -104,7 +104,7 @@
   if (what == Predecessor::Do::kHandOn) HandOn();
   if (what == Predecessor::Do::kResume) {
     parts_.logger.Warning("upgrade: the new process is gone; this one serves again, as after a start");
-    parts_.core.ServeAgain(parts_.inputs.Now());
+    parts_.core.ResumeServing(parts_.inputs.Now());
     parts_.listener.Resume();
     if (parts_.peers != nullptr) parts_.peers->Resume();
     ListenForNext();  // the other had taken the place where the next one looks
@@ -133,7 +133,7 @@
   const TimePoint now = parts_.inputs.Now();
   // Of what is held, idle clients and kept connections go over at once; the rest ends with its requests.
   const std::size_t open_requests = 2 * parts_.listener.owed();
-  handover::Snapshot snapshot{parts_.core.HandOn(), parts_.by_hand.list(), parts_.by_hand.suspended(),
+  handover::Snapshot snapshot{parts_.core.ExportState(), parts_.by_hand.list(), parts_.by_hand.suspended(),
                               static_cast<std::uint32_t>(open_requests), parts_.listener.open_ids()};
   const std::size_t customers = snapshot.memory.customers.size(), open = snapshot.open_ids.size();
   Pass(Kind::kSnapshot, handover::Encode(std::move(snapshot), now), {});
@@ -186,7 +186,7 @@
   if (!from_old && frame.kind == Kind::kHello) Do(predecessor_.Hello(parts_.inputs.Now()));
   if (!from_old && frame.kind == Kind::kTaken && predecessor_.Taken() == Predecessor::Do::kHandOn) {
     parts_.logger.Warning("upgrade: the new process serves already; this one only ends what it has");
-    parts_.core.HandOn();
+    parts_.core.ExportState();
     if (parts_.peers != nullptr) parts_.peers->HandOn();
     parts_.listener.LetGo();
   }
--- a/src/app/handing.hpp
+++ b/src/app/handing.hpp
@@ -25,7 +25,7 @@
     net::Descriptors& descriptors;
     net::Listener& listener;
     net::Upstream& upstream;
-    Core& core;
+    GatewayCore& core;
     host_overrides::HostOverrides& by_hand;
     log::Logger& logger;
     std::function<void(handover::Kind kind, HostId host)> call_by_hand;  // made at the other process
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-int Serve(const std::string& path, const CoreFactory& make_core) {
+int Serve(const std::string& path, const GatewayCoreFactory& make_core) {
   std::string error;
   const auto config = config::LoadConfig(path, config::ReadEnvironment(), error);
   if (!config) {
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -8,6 +8,6 @@
 namespace curlewdoor::app {
 
 // Serves until SIGTERM or SIGINT has drained it. `path` as in config::LoadConfig(). Returns the exit code.
-int Serve(const std::string& path, const CoreFactory& make_core = MakeReducer);
+int Serve(const std::string& path, const GatewayCoreFactory& make_core = MakeReducer);
 
 }  // namespace curlewdoor::app
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 Service::Service(struct ev_loop* loop, const config::Config& config, Reload reload, log::Logger& logger,
-                 const CoreFactory& make_core)
+                 const GatewayCoreFactory& make_core)
     : loop_(loop),
       config_(config),
       reload_(std::move(reload)),
@@ -57,7 +57,7 @@
           }),
       hang_up_(loop, SIGHUP, [this](int) { OnHangUp(); }),
       before_wait_(loop, [this](int) { BeforeWait(); }),
-      after_wait_(loop, [this](int) { stalls_.Wakes(clock_.Now()); }),
+      after_wait_(loop, [this](int) { stalls_.AfterWake(clock_.Now()); }),
       due_timer_(loop, [](int) {}),  // only wakes the loop
       house_timer_(loop, [this](int) { KeepHouse(); }),
       figures_timer_(loop, [this](int) { LogFigures(); }) {}
@@ -71,7 +71,7 @@
   house_due_ = clock_.Now() + kHouseEvery;
   house_timer_.StartIn(kHouseEvery, kHouseEvery);
   figures_timer_.StartIn(kFiguresEvery, kFiguresEvery);
-  MembersTold known{config_.known.value_or(MemberList{}), true};
+  MembersReceived known{config_.known.value_or(MemberList{}), true};
   Post(std::move(known));
   if (config_.settings.discovery == curlewdoor::DiscoveryMode::kPush) discovery_.Watch(true);
   listener_.NameClasses();
@@ -87,7 +87,7 @@
 }
 
 void Service::Post(Input input) {
-  if (auto* told = std::get_if<MembersTold>(&input)) {
+  if (auto* told = std::get_if<MembersReceived>(&input)) {
     if (!told->cached) handing_.NoteListTold();
     told->members = by_hand_.ApplyOverrides(std::move(told->members));
   }
@@ -108,7 +108,7 @@
 }
 
 void Service::Apply(const StartAttempt& effect) {
-  if (!uploads_.Start(effect)) return Post(AttemptBroken{effect.attempt});
+  if (!uploads_.Start(effect)) return Post(AttemptFailed{effect.attempt});
   ++counts_.attempts;
 }
 
@@ -124,13 +124,13 @@
   listener_.Deliver(effect.attempt.request, *upstream_.current_answer());
 }
 
-void Service::Apply(const AnswerRefused& effect) {
+void Service::Apply(const RespondRefused& effect) {
   ++counts_.refused;
   uploads_.Forget(effect.request);
   listener_.Refuse(effect.request, effect.retry_after);
 }
 
-void Service::Apply(const AnswerFailed& effect) {
+void Service::Apply(const RespondFailed& effect) {
   ++counts_.failed;
   uploads_.Forget(effect.request);
   listener_.Fail(effect.request);
@@ -161,7 +161,7 @@
   // Taken once its last byte has come, ended once the last of its answer has gone.
   figures.outstanding = reducer_->open_requests() - listener_.uploads() + listener_.deliveries();
   figures.discovered = by_hand_.listed_count();
-  figures.ejected = by_hand_.listed_suspended_count() + reducer_->resting(clock_.Now());
+  figures.ejected = by_hand_.listed_suspended_count() + reducer_->ejected_hosts(clock_.Now());
   figures.sighup_applied = counts_.reloads;
   figures.sighup_rejected = counts_.bad_reloads;
   if (peers_) figures.more = peers_->Figures();
@@ -203,7 +203,7 @@
   std::optional<MemberList> change;
   const auto answer =
       kind == handover::Kind::kSuspend ? by_hand_.Suspend(host, change) : by_hand_.Restore(host, change);
-  if (change) Handle(MembersTold{std::move(*change)});
+  if (change) Handle(MembersReceived{std::move(*change)});
   return answer;
 }
 
@@ -229,7 +229,7 @@
   config_.keys = std::move(next->keys);
   if (next->duty && duties() != nullptr) duties()->Retune(*next);
   listener_.NameClasses();
-  Handle(SettingsTold{std::make_shared<Settings>(config_.settings)});
+  Handle(SettingsReloaded{std::make_shared<Settings>(config_.settings)});
   logger_.Info("reload: {} classes, {} plans, {} attempts at the most", config_.settings.classes.size(),
                config_.settings.plans.size(), config_.settings.limits.max_attempts);
 }
@@ -251,7 +251,7 @@
   }
   due_timer_.Stop();
   const TimePoint now = clock_.Now();
-  stalls_.Waits(now, due ? std::min(*due, house_due_) : house_due_);
+  stalls_.BeforeWait(now, due ? std::min(*due, house_due_) : house_due_);
   if (!due) return;
   ev_now_update(loop_);
   due_timer_.StartIn(std::max(Duration::zero(), *due - now));
@@ -272,7 +272,7 @@
       "on sockets {}; "
       "clients {} accepted {} shed {}; hosts' connections {} opened {}; counter's {}; log lines dropped {}",
       clients.requests, clients.rejected, counts_.served, counts_.refused, counts_.failed, counts_.attempts,
-      counts_.calls, reducer_->open_requests(), reducer_->attempts_out(), upstream_.attempts(),
+      counts_.calls, reducer_->open_requests(), reducer_->attempts_in_flight(), upstream_.attempts(),
       listener_.connections(), clients.accepted, clients.shed, upstream_.connections(), upstream_.opened(),
       counter_.connections(), logger_.dropped());
 }
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -32,7 +32,7 @@
       std::function<std::optional<config::Config>(const config::Config& running, std::string& error)>;
 
   Service(struct ev_loop* loop, const config::Config& config, Reload reload, log::Logger& logger,
-          const CoreFactory& make_core = MakeReducer);
+          const GatewayCoreFactory& make_core = MakeReducer);
   ~Service() override;
 
   // Listens and asks discovery. Tells in `error` why it can't.
@@ -42,7 +42,7 @@
   void Stop() { shutdown_.Begin(); }
   std::size_t clients() const { return listener_.connections(); }
   // What is believed to be out, and what the sockets show.
-  std::size_t attempts_out() const { return reducer_->attempts_out(); }
+  std::size_t attempts_out() const { return reducer_->attempts_in_flight(); }
   std::size_t attempts_on_sockets() const { return upstream_.attempts(); }
 
  private:
@@ -51,13 +51,13 @@
   TimePoint Now() override { return clock_.Now(); }
   Duration Unseen(int socket) override {
     const TimePoint now = clock_.Now();
-    return stalls_.Unseen(now, stalls_.behind(now) ? net::SinceReceived(socket) : std::nullopt);
+    return stalls_.InputDelay(now, stalls_.catching_up(now) ? net::SinceReceived(socket) : std::nullopt);
   }
 
   // Bodies in pieces: docs/streaming.md.
   void OnUpload(RequestId request) override { uploads_.Pump(request); }
-  void OnWhole(RequestId request) override { Post(RequestWhole{request}); }
-  void OnBound(const AttemptId& attempt) override { Post(UploadBound{attempt}); }
+  void OnWhole(RequestId request) override { Post(RequestBodyComplete{request}); }
+  void OnBound(const AttemptId& attempt) override { Post(ReplayBufferReleased{attempt}); }
   void OnAnswerRoom(RequestId request) override { upstream_.ReadOn(request); }
   void OnAnswerLost(RequestId request) override { upstream_.DropStream(request); }
   bool WantsAnswer(RequestId request) override { return listener_.WantsBytes(request); }
@@ -72,14 +72,14 @@
     upstream_.Drop(effect.attempt);
   }
   void Apply(const DeliverAnswer& effect);
-  void Apply(const AnswerRefused& effect);
-  void Apply(const AnswerFailed& effect);
+  void Apply(const RespondRefused& effect);
+  void Apply(const RespondFailed& effect);
   void Apply(const StartCall& effect);
   void Apply(const DropCall& effect) { counter_.Drop(effect.call); }
   void Apply(const StartProbe& effect) { upstream_.Start(effect); }
   void Apply(const DropProbe& effect) { upstream_.Drop(effect.probe); }
-  void Apply(const CloseKept& effect) { upstream_.CloseKeptTo(effect.host); }
-  void Apply(const StopSending& effect) { upstream_.StopSendingTo(effect.host, effect.by); }
+  void Apply(const CloseIdleConnections& effect) { upstream_.CloseKeptTo(effect.host); }
+  void Apply(const StopSending& effect) { upstream_.StopSendingTo(effect.host, effect.deadline); }
   void Apply(const WatchMembers& effect) { discovery_.Watch(effect.on); }
   void Apply(const FetchMembers&) { discovery_.Fetch(); }
   void Apply(const WriteLog& effect) { logger_.Info("module: {}", effect.text); }
@@ -111,7 +111,7 @@
   WallClock clock_;
   StallMeter stalls_;
   net::Descriptors descriptors_;
-  const std::unique_ptr<Core> reducer_;
+  const std::unique_ptr<GatewayCore> reducer_;
   net::Listener listener_;
   net::PlatformDialect dialect_{config_.settings};
   net::Upstream upstream_;
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -1,6 +1,7 @@
-// The reducer: what the gateway knows of its requests, attempts, calls and hosts, and the one place where
-// that changes. It takes one input, asks the module, and gives back effects: what to write, open or close. It
-// does no I/O, reads no clock and decides nothing that the module decides.
+// The reducer holds the gateway's state of requests, attempts, counter calls, probes and hosts, and is the
+// only place that changes it. It takes one input, passes the resulting events to the gateway logic (Gateway
+// in logic.hpp) and returns effects: what to write, open or close. It does no I/O and reads no clock;
+// routing, retry and quota decisions are made by the gateway logic alone.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 
 namespace curlewdoor {
 
-// Attempts of a request are numbered from 0 in the order they are begun.
+// Identifies one attempt of a request. Attempts are numbered from 0 in the order in which they start.
 struct AttemptId {
   RequestId request;
   int number = 0;
@@ -35,254 +36,290 @@
 
 // ---- Inputs -------------------------------------------------------------------------------------------
 
-struct RequestRead {  // a client's request is well formed; its id is new
+// A well-formed request has been read from a client. Its id has not been used before.
+struct RequestRead {
   RequestArrived request;
-  bool whole = true;  // else its body still comes, and RequestWhole follows
+  bool body_complete = true;  // false: the body is still arriving, and RequestBodyComplete follows
 };
-struct RequestWhole {
+// The last byte of the request's body has been read.
+struct RequestBodyComplete {
   RequestId request;
 };
-struct UploadBound {  // part of its request's body is held no longer: no other attempt can be made
+// Part of the request's body is no longer buffered, so no other attempt of the request can be made.
+struct ReplayBufferReleased {
   AttemptId attempt;
 };
-struct ClientLeft {
+// The client has left before its request was answered.
+struct ClientDisconnected {
   RequestId request;
 };
-struct AttemptWritten {  // to the last byte
+// The request has been written to the host up to its last byte.
+struct AttemptWritten {
   AttemptId attempt;
 };
+// The host has answered. `not_processed`: the answer is marked as rejected before processing.
 struct AttemptAnswered {
   AttemptId attempt;
   int status = 0;
   bool not_processed = false;
   LoadReport load;
 };
-struct AttemptBroken {  // the connection never came up, broke or ended
+// The connection could not be established, broke or was closed before an answer.
+struct AttemptFailed {
   AttemptId attempt;
 };
+// The counter call has been written up to its last byte.
 struct CallWritten {
   CallId call;
 };
+// The counter has answered. `total` is absent if the answer holds no number.
 struct CallAnswered {
   CallId call;
   int status = 0;
   std::optional<double> total;
 };
-struct CallBroken {
+// The connection for the counter call could not be established, broke or was closed before an answer.
+struct CallFailed {
   CallId call;
 };
+// The host has answered the probe.
 struct ProbeAnswered {
   ProbeId probe;
   int status = 0;
   LoadReport load;
 };
-struct ProbeBroken {
+// The probe's connection could not be established, broke or was closed before an answer.
+struct ProbeFailed {
   ProbeId probe;
 };
-struct MembersTold {
+// A list of hosts, or changes to it, from discovery, a cached list or overrides by operators.
+struct MembersReceived {
   MemberList members;
-  bool cached = false;  // as known before the start
+  bool cached = false;  // known from before this process started
 };
-struct MembersFailed {};  // a watch or a fetch came to nothing
-struct SettingsTold {     // checked, and what may not change while the program runs is as it was
+// A watch or a fetch of the host list has failed.
+struct MembersFetchFailed {};
+// New settings. They are validated, and settings that must not change at run time have their old values.
+struct SettingsReloaded {
   std::shared_ptr<const Settings> settings;
 };
+// Runs the timers that are due.
 struct TimePassed {};
 
-using Input = std::variant<RequestRead, RequestWhole, UploadBound, ClientLeft, AttemptWritten,
-                           AttemptAnswered, AttemptBroken, CallWritten, CallAnswered, CallBroken,
-                           ProbeAnswered, ProbeBroken, MembersTold, MembersFailed, SettingsTold, TimePassed>;
+using Input =
+    std::variant<RequestRead, RequestBodyComplete, ReplayBufferReleased, ClientDisconnected, AttemptWritten,
+                 AttemptAnswered, AttemptFailed, CallWritten, CallAnswered, CallFailed, ProbeAnswered,
+                 ProbeFailed, MembersReceived, MembersFetchFailed, SettingsReloaded, TimePassed>;
 
 // ---- Effects ------------------------------------------------------------------------------------------
 
+// Send the request to the host. The attempt expires at `expires`.
 struct StartAttempt {
   AttemptId attempt;
   HostId host;
   Address address;
   TimePoint expires;
 };
-struct DropAttempt {  // close its connection
+// Abort the attempt and close its connection.
+struct DropAttempt {
   AttemptId attempt;
 };
-struct DeliverAnswer {  // pass the answer that this attempt has just brought on to the client
+// Forward the answer that this attempt has just received to the client.
+struct DeliverAnswer {
   AttemptId attempt;
 };
-struct AnswerRefused {
+// Tell the client that its request is refused and when it may retry.
+struct RespondRefused {
   RequestId request;
   Duration retry_after{};
 };
-struct AnswerFailed {
+// Tell the client that its request has failed.
+struct RespondFailed {
   RequestId request;
 };
+// Add `amount` to the named counter.
 struct StartCall {
   CallId call;
   CounterName name;
   Duration lifetime{};
   double amount = 0;
 };
-struct DropCall {  // nobody waits for it any more; it is not written if it has not been begun
+// The result of the call is no longer needed. A call of which nothing has been written is not sent.
+struct DropCall {
   CallId call;
 };
+// Probe a host. `with_load`: load reports are enabled.
 struct StartProbe {
   ProbeId probe;
   HostId host;
   Address address;
   bool with_load = false;
 };
+// Abort the probe.
 struct DropProbe {
   ProbeId probe;
 };
-struct CloseKept {  // the connections to a host that carry nothing
+// Close the idle connections to the host.
+struct CloseIdleConnections {
   HostId host;
 };
-struct StopSending {  // the host drains or is gone: no first byte of an attempt later than this
+// The host is draining or removed: no attempt may write its first byte to it after `deadline`.
+struct StopSending {
   HostId host;
-  TimePoint by;
+  TimePoint deadline;
 };
+// Start or stop watching discovery for changes to the host list.
 struct WatchMembers {
   bool on = true;
 };
+// Fetch the host list from discovery once.
 struct FetchMembers {};
+// Write a line to the log.
 struct WriteLog {
   std::string text;
 };
 
-using Effect =
-    std::variant<StartAttempt, DropAttempt, DeliverAnswer, AnswerRefused, AnswerFailed, StartCall, DropCall,
-                 StartProbe, DropProbe, CloseKept, StopSending, WatchMembers, FetchMembers, WriteLog>;
+using Effect = std::variant<StartAttempt, DropAttempt, DeliverAnswer, RespondRefused, RespondFailed,
+                            StartCall, DropCall, StartProbe, DropProbe, CloseIdleConnections, StopSending,
+                            WatchMembers, FetchMembers, WriteLog>;
 
 // ---- The reducer --------------------------------------------------------------------------------------
 
-// What whoever plays a gateway sees of its core. The reducer is the one in service; tests of the kit put one
-// that does something wrong on purpose in its place, to see that the judge notices.
-class Core {
+// Interface of the gateway's core, used by the service and by simulations. Reducer is the implementation in
+// service; tests of the kit substitute one with deliberate faults to verify that the checker detects them.
+class GatewayCore {
  public:
-  virtual ~Core() = default;
+  virtual ~GatewayCore() = default;
 
-  // Takes one input at time `now` and appends effects. What falls due is handled with TimePassed only, so
-  // that an answer that has come is taken before its time-out, however late both are looked at.
+  // Handles one input at time `now` and appends effects. Timers run only on TimePassed, so that an answer
+  // that has arrived is handled before its timeout, however late both are processed.
   virtual void Handle(TimePoint now, Input input, std::vector<Effect>& effects) = 0;
 
-  // When TimePassed is wanted next.
+  // When TimePassed must be passed in next, if any timer is set.
   virtual std::optional<TimePoint> NextDue() = 0;
 
   virtual std::size_t open_requests() const = 0;
-  virtual std::size_t attempts_out() const = 0;
+  virtual std::size_t attempts_in_flight() const = 0;
   virtual bool knows_hosts() const = 0;
-  // Hosts in use that the module leaves alone for now, by its own choice.
-  virtual std::size_t resting(TimePoint now) = 0;
-  // Requests that wait to be decided: no host has been chosen for them yet.
-  virtual std::size_t undecided() const = 0;
+  // Number of hosts in use that the gateway logic has temporarily ejected.
+  virtual std::size_t ejected_hosts(TimePoint now) = 0;
+  // Number of open requests for which no host has been chosen yet.
+  virtual std::size_t unassigned_requests() const = 0;
 
-  // An upgrade: see Gateway.
-  virtual GatewaySnapshot HandOn() = 0;
-  virtual void TakeOver(const GatewaySnapshot& memory) = 0;
-  virtual void ServeAgain(TimePoint now) = 0;
+  // State transfer in an upgrade: see Gateway in logic.hpp.
+  virtual GatewaySnapshot ExportState() = 0;
+  virtual void ImportState(const GatewaySnapshot& state) = 0;
+  virtual void ResumeServing(TimePoint now) = 0;
 };
-using CoreFactory = std::function<std::unique_ptr<Core>(const Settings& settings, std::uint64_t seed)>;
-std::unique_ptr<Core> MakeReducer(const Settings& settings, std::uint64_t seed);
+// Creates the core of a gateway.
+using GatewayCoreFactory =
+    std::function<std::unique_ptr<GatewayCore>(const Settings& settings, std::uint64_t seed)>;
+std::unique_ptr<GatewayCore> MakeReducer(const Settings& settings, std::uint64_t seed);
 
-class Reducer final : public Core {
+// The core in service.
+class Reducer final : public GatewayCore {
  public:
   Reducer(const Settings& settings, std::uint64_t seed);
 
   void Handle(TimePoint now, Input input, std::vector<Effect>& effects) override;
   std::optional<TimePoint> NextDue() override;
   std::size_t open_requests() const override { return open_requests_; }
-  std::size_t attempts_out() const override { return attempts_out_; }
+  std::size_t attempts_in_flight() const override { return attempts_in_flight_; }
   bool knows_hosts() const override { return !hosts_.empty(); }
-  std::size_t resting(TimePoint now) override { return gateway_.ejected_hosts(now); }
-  std::size_t undecided() const override;
-  GatewaySnapshot HandOn() override { return gateway_.ExportState(); }
-  void TakeOver(const GatewaySnapshot& memory) override { gateway_.ImportState(memory); }
-  void ServeAgain(TimePoint now) override { gateway_.ResumeServing(now); }
+  std::size_t ejected_hosts(TimePoint now) override { return gateway_.ejected_hosts(now); }
+  std::size_t unassigned_requests() const override;
+  GatewaySnapshot ExportState() override { return gateway_.ExportState(); }
+  void ImportState(const GatewaySnapshot& state) override { gateway_.ImportState(state); }
+  void ResumeServing(TimePoint now) override { gateway_.ResumeServing(now); }
 
  private:
   struct Attempt {
     HostId host;
-    TimePoint begun;
-    bool out = true;
+    TimePoint started;
+    bool in_flight = true;
     bool written = false;
-    Duration patience{};  // from the last byte of the request on
+    Duration time_limit{};  // time allowed after the last byte of the request
   };
   struct Request {
     TimePoint deadline;
     Duration time_left{};
-    bool whole = true, bound = false;
-    bool open = true;  // its client waits for an answer
+    bool body_complete = true, bound_to_attempt = false;
+    bool open = true;  // the client still waits for an answer
     std::vector<Attempt> attempts;
   };
   struct Call {
     CounterName name;
-    TimePoint begun;
+    TimePoint started;
     bool written = false;
-    bool of_presence = false;
+    bool for_presence = false;
   };
   struct Probe {
     HostId host;
-    TimePoint begun;
+    TimePoint started;
   };
   struct HostInfo {
     Address address;
     HostState state = HostState::kReady;
   };
-  struct PresenceDue {};
-  using Timer = std::variant<TimerToken, AttemptId, CallId, ProbeId, PresenceDue>;
+  struct PresenceTimer {};
+  using Timer = std::variant<TimerToken, AttemptId, CallId, ProbeId, PresenceTimer>;
 
-  void Take(RequestRead& input);
-  void Take(RequestWhole& input);
-  void Take(UploadBound& input);
-  void Take(ClientLeft& input);
-  void Take(AttemptWritten& input);
-  void Take(AttemptAnswered& input);
-  void Take(AttemptBroken& input);
-  void Take(CallWritten& input);
-  void Take(CallAnswered& input);
-  void Take(CallBroken& input);
-  void Take(ProbeAnswered& input);
-  void Take(ProbeBroken& input);
-  void Take(MembersTold& input);
-  void Take(MembersFailed& input);
-  void Take(SettingsTold& input);
-  void Take(TimePassed& input);
+  void On(RequestRead& input);
+  void On(RequestBodyComplete& input);
+  void On(ReplayBufferReleased& input);
+  void On(ClientDisconnected& input);
+  void On(AttemptWritten& input);
+  void On(AttemptAnswered& input);
+  void On(AttemptFailed& input);
+  void On(CallWritten& input);
+  void On(CallAnswered& input);
+  void On(CallFailed& input);
+  void On(ProbeAnswered& input);
+  void On(ProbeFailed& input);
+  void On(MembersReceived& input);
+  void On(MembersFetchFailed& input);
+  void On(SettingsReloaded& input);
+  void On(TimePassed& input);
 
-  // Whether what a timer was set for has ended meanwhile; the module's own are always wanted.
-  bool Ended(TimerToken) { return false; }
-  bool Ended(AttemptId id) { return FindOut(id) == nullptr; }
-  bool Ended(CallId id) const;  // or written: then its answer counts, however late
-  bool Ended(ProbeId id) { return !probes_.contains(id); }
-  bool Ended(PresenceDue) { return false; }
-  void Due(TimerToken token);
-  void Due(PresenceDue);
-  void Due(AttemptId id);
-  void Due(CallId id);
-  void Due(ProbeId id);
+  // Whether a timer is no longer needed because its subject has ended. Timers of the gateway logic are always
+  // needed.
+  bool IsObsolete(TimerToken) { return false; }
+  bool IsObsolete(AttemptId id) { return FindInFlight(id) == nullptr; }
+  bool IsObsolete(CallId id) const;  // also if written: a late answer still counts
+  bool IsObsolete(ProbeId id) { return !probes_.contains(id); }
+  bool IsObsolete(PresenceTimer) { return false; }
+  void OnTimer(TimerToken token);
+  void OnTimer(PresenceTimer);
+  void OnTimer(AttemptId id);
+  void OnTimer(CallId id);
+  void OnTimer(ProbeId id);
 
-  void Do(const SendAttempt& action);
-  void Do(const CancelAttempt& action);
-  void Do(const RefuseRequest& action);
-  void Do(const FailRequest& action);
-  void Do(const SetTimer& action);
-  void Do(const SendProbe& action);
-  void Do(const CloseIdle& action);
-  void Do(const SendToPeer& action);
-  void Do(const WatchHosts& action);
-  void Do(const FetchHostList& action);
-  void Do(const AddToCounter& action);
-  void Do(const WriteLogLine& action);
+  void Apply(const SendAttempt& action);
+  void Apply(const CancelAttempt& action);
+  void Apply(const RefuseRequest& action);
+  void Apply(const FailRequest& action);
+  void Apply(const SetTimer& action);
+  void Apply(const SendProbe& action);
+  void Apply(const CloseIdle& action);
+  void Apply(const SendToPeer& action);
+  void Apply(const WatchHosts& action);
+  void Apply(const FetchHostList& action);
+  void Apply(const AddToCounter& action);
+  void Apply(const WriteLogLine& action);
 
-  Attempt* FindOut(AttemptId id);
+  Attempt* FindInFlight(AttemptId id);
   void EndAttempt(AttemptId id, Outcome outcome, LoadReport load = {});
   void EndCall(CallId id, Outcome outcome, double total = 0);
   void EndProbe(ProbeId id, Outcome outcome, LoadReport load = {});
-  Request* FindOpen(RequestId id);
+  Request* FindOpenRequest(RequestId id);
   void CloseRequest(RequestId id, Request& request);
-  void ForgetIfDone(RequestId id);
-  void HostLeaves(HostId host);
-  void StartCountCall(CounterName name, Duration lifetime, double amount, bool of_presence);
+  void EraseIfFinished(RequestId id);
+  void StopUsingHost(HostId host);
+  void StartCounterCall(CounterName name, Duration lifetime, double amount, bool for_presence);
   void EndPresenceCall(CounterName name, std::optional<double> total);
-  // Tells the module. What its actions bring about at once is told after them, in order.
-  void Tell(Event event);
+  // Passes the event to the gateway logic and applies the resulting actions. Events raised by these actions
+  // are queued and dispatched afterwards, in order.
+  void Dispatch(Event event);
 
   std::shared_ptr<const Settings> settings_;
   Gateway gateway_;
@@ -293,14 +330,14 @@
   std::unordered_map<CallId, Call, IdHash> calls_;
   std::unordered_map<ProbeId, Probe, IdHash> probes_;
   std::unordered_map<HostId, HostInfo, IdHash> hosts_;
-  std::size_t open_requests_ = 0, attempts_out_ = 0;
+  std::size_t open_requests_ = 0, attempts_in_flight_ = 0;
   std::uint64_t next_call_ = 1, next_probe_ = 1;
-  std::vector<RequestId> touched_;  // closed, or an attempt of it ended, by the present input
-  std::vector<Event> untold_;
+  std::vector<RequestId> changed_requests_;  // closed, or with an attempt ended, by the current input
+  std::vector<Event> pending_events_;
   std::vector<Action> actions_;
-  bool telling_ = false, peers_said_ = false;
-  std::optional<quota::Presence> presence_;  // where it is switched on
-  bool presence_begun_ = false;
+  bool dispatching_ = false, peer_message_logged_ = false;
+  std::optional<quota::Presence> presence_;  // absent if disabled
+  bool presence_started_ = false;
 };
 
 }  // namespace curlewdoor
--- a/src/core/timers.hpp
+++ b/src/core/timers.hpp
@@ -1,4 +1,4 @@
-// Time: the wall clock that all gateways share, and a queue of what falls due.
+// Time: a monotonic wall clock, a measure of input delay caused by stalls, and a timer queue.
 #pragma once
 
 #include <algorithm>
@@ -12,9 +12,9 @@
 
 namespace curlewdoor {
 
-// Unix time that never goes back. Windows of a quota must agree over gateways and hosts tell their start in
-// Unix time, so it follows the system's clock; where that is set back, time runs at half speed until both
-// agree, so that nothing that waits is stopped.
+// Unix time that never goes back. It follows the system clock because quota windows must agree across
+// gateways and hosts report their start in Unix time. If the system clock is set back, time runs at half
+// speed until both agree, so that pending timers still make progress.
 class WallClock {
  public:
   using System = std::chrono::system_clock;
@@ -35,44 +35,47 @@
   Duration now_{}, steady_{};
 };
 
-// How long requests may have waited before they are read: the loop's last round took that long, or it woke
-// later than it was to. A client's time runs from its sending, and a gateway that stood still (its machine
-// paused, its share of CPU used up) would else promise it more than is left.
+// Measures how long input may have waited before the event loop reads it: the duration of the loop's last
+// iteration plus the lateness of its wake-up. A client's time limit runs from when it sends the request.
+// Without this correction, a gateway that stalled (machine paused, CPU quota used up) would allow more than
+// is left.
 class StallMeter {
  public:
-  // Before the loop waits, and when it was to wake at the latest.
-  void Waits(TimePoint now, TimePoint until) {
+  // Called before the loop waits. `latest_wake`: when it must wake at the latest.
+  void BeforeWait(TimePoint now, TimePoint latest_wake) {
     busy_ = woke_ == TimePoint{} ? Duration::zero() : now - woke_;
-    until_ = until;
+    latest_wake_ = latest_wake;
   }
-  void Wakes(TimePoint now) {
+  // Called when the loop has woken.
+  void AfterWake(TimePoint now) {
     woke_ = now;
-    unseen_ = busy_ + std::max(Duration::zero(), now - until_);
-    if (unseen_ < kStep || now < behind_until_) return;
-    behind_since_ = now - unseen_;
-    behind_until_ = now + unseen_;
+    iteration_delay_ = busy_ + std::max(Duration::zero(), now - latest_wake_);
+    if (iteration_delay_ < kReceiveTimeResolution || now < catch_up_until_) return;
+    stall_began_ = now - iteration_delay_;
+    catch_up_until_ = now + iteration_delay_;
   }
-  // Of what this turn finds.
-  Duration unseen() const { return unseen_; }
-  // What a stall has piled up is read over several turns: one accepts, the next reads, and what is more than
-  // a turn takes waits for a third. So for as long as the stall was, what is read may be as old as the stall,
-  // and only the system can tell: `age` is what it says of the data, absent where it says nothing. Guards
-  // against what a stopped gateway held being sent on after its time (fleet-load-stall, 8 of 8 seeds, up
-  // to 2.6 s).
-  bool behind(TimePoint now) const { return now < behind_until_; }
-  Duration Unseen(TimePoint now, std::optional<Duration> age) const {
-    if (!behind(now) || !age) return unseen_;
-    return std::max(unseen_, std::min(*age, now - behind_since_));
+  // Longest delay of input that this iteration finds, unless it is still catching up with a stall.
+  Duration iteration_delay() const { return iteration_delay_; }
+  // True for as long after a stall as the stall lasted. The backlog is read over several iterations: one
+  // accepts, the next reads, and input beyond the limit of an iteration waits for a third. Until then, input
+  // may be as old as the stall, and only the kernel knows its age.
+  bool catching_up(TimePoint now) const { return now < catch_up_until_; }
+  // Delay of input read now. `age`: age of the data according to the kernel, absent if unknown. Ignoring
+  // it, a stalled gateway forwarded requests after their deadline (rehearsal fleet-load-stall, 8 of 8 seeds,
+  // up to 2.6 s).
+  Duration InputDelay(TimePoint now, std::optional<Duration> age) const {
+    if (!catching_up(now) || !age) return iteration_delay_;
+    return std::max(iteration_delay_, std::min(*age, now - stall_began_));
   }
 
  private:
-  static constexpr Duration kStep = std::chrono::milliseconds(10);  // of the system's clock of arrivals
+  static constexpr Duration kReceiveTimeResolution = std::chrono::milliseconds(10);  // of the kernel
 
-  TimePoint woke_, until_, behind_since_, behind_until_;
-  Duration busy_{}, unseen_{};
+  TimePoint woke_, latest_wake_, stall_began_, catch_up_until_;
+  Duration busy_{}, iteration_delay_{};
 };
 
-// What falls due, earliest first; what falls due together comes in the order it was added.
+// Timer queue, earliest first. Items due at the same time are returned in the order in which they were added.
 template <typename Item>
 class TimerQueue {
  public:
@@ -80,10 +83,10 @@
   std::optional<TimePoint> NextDue() const {
     return entries_.empty() ? std::nullopt : std::optional(entries_.top().due);
   }
-  // Takes those off the front that nobody waits for any more, so that nothing wakes for them.
-  template <typename Unwanted>
-  void DropFirst(Unwanted unwanted) {
-    while (!entries_.empty() && unwanted(entries_.top().item)) entries_.pop();
+  // Removes items from the front while `predicate` holds, so that no wake-up is scheduled for obsolete items.
+  template <typename Predicate>
+  void DropFrontWhile(Predicate predicate) {
+    while (!entries_.empty() && predicate(entries_.top().item)) entries_.pop();
   }
   std::optional<Item> PopDue(TimePoint now) {
     if (entries_.empty() || entries_.top().due > now) return std::nullopt;
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -39,7 +39,7 @@
 
 void Counter::Start(const StartCall& effect) {
   Line* line = Choose();
-  if (line == nullptr) return inputs_.Post(CallBroken{effect.call});
+  if (line == nullptr) return inputs_.Post(CallFailed{effect.call});
   line->used = inputs_.Now();
   line->calls.push_back({effect.call, line->used, CallText(effect, address_)});
   if (line->connection.up()) WriteAll(*line);
@@ -123,7 +123,7 @@
 }
 
 void Counter::PostBroken(const std::deque<Pending>& calls) {
-  for (const Pending& call : calls) inputs_.Post(CallBroken{call.id});
+  for (const Pending& call : calls) inputs_.Post(CallFailed{call.id});
 }
 
 // A written call can't be sent again elsewhere, it may have been added, so it keeps its connection. One that
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -83,7 +83,7 @@
   last_failure_.clear();
   fetching_ = false;
   version_ = members->version;
-  inputs_.Post(MembersTold{std::move(*members)});
+  inputs_.Post(MembersReceived{std::move(*members)});
   // At once, from the loop: the next watch must come within 200 ms of this answer.
   again_timer_.StartIn(Duration::zero());
 }
@@ -99,7 +99,7 @@
   fetching_ = false;
   if (keep_watch_) return again_timer_.StartIn(kAgain);
   watching_ = false;
-  inputs_.Post(MembersFailed{});
+  inputs_.Post(MembersFetchFailed{});
 }
 
 void Discovery::Retire() {
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -48,7 +48,7 @@
  private:
   void OnRequest(Client& client) override;
   void OnEnded(Client& client, Ended how) override;
-  void OnLeft(RequestId id) override { inputs_.Post(ClientLeft{id}); }
+  void OnLeft(RequestId id) override { inputs_.Post(ClientDisconnected{id}); }
   void OnTaken(Client& client) override { open_ids_.erase(client.wire_id); }
   std::initializer_list<std::string_view> Kept() const override;
   bool closing() const override { return draining_ && !holding_; }
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -279,8 +279,8 @@
 
 void Upstream::PostBroken(const Task& task) {
   if (const auto* request = std::get_if<RequestId>(&task)) inputs_.OnAnswerEnd(*request, false);
-  if (const auto* attempt = std::get_if<AttemptId>(&task)) inputs_.Post(AttemptBroken{*attempt});
-  if (const auto* probe = std::get_if<ProbeId>(&task)) inputs_.Post(ProbeBroken{*probe});
+  if (const auto* attempt = std::get_if<AttemptId>(&task)) inputs_.Post(AttemptFailed{*attempt});
+  if (const auto* probe = std::get_if<ProbeId>(&task)) inputs_.Post(ProbeFailed{*probe});
 }
 
 // ---- Ending -------------------------------------------------------------------------------------------
--- a/src/rehearsal/search.cpp
+++ b/src/rehearsal/search.cpp
@@ -19,7 +19,7 @@
   return static_cast<double>(time.tv_sec) + 1e-9 * static_cast<double>(time.tv_nsec);
 }
 
-SeedResult PlaySeed(const Scenario& scenario, std::uint64_t seed, const CoreFactory& make_core) {
+SeedResult PlaySeed(const Scenario& scenario, std::uint64_t seed, const GatewayCoreFactory& make_core) {
   const RunResult run = VirtualRun(scenario, seed, false, make_core).Play();
   SeedResult result;
   result.seed = seed;
@@ -51,7 +51,7 @@
 }
 
 SearchResult Search(const Scenario& scenario, std::uint64_t first, std::uint64_t last, unsigned threads,
-                    const std::function<void(std::uint64_t)>& on_done, const CoreFactory& make_core) {
+                    const std::function<void(std::uint64_t)>& on_done, const GatewayCoreFactory& make_core) {
   const auto begun = std::chrono::steady_clock::now();
   SearchResult result;
   result.seeds.resize(last - first + 1);
--- a/src/rehearsal/search.hpp
+++ b/src/rehearsal/search.hpp
@@ -33,6 +33,6 @@
 // `on_done` is told how many are done, from any thread, one call at a time.
 SearchResult Search(const Scenario& scenario, std::uint64_t first, std::uint64_t last, unsigned threads,
                     const std::function<void(std::uint64_t)>& on_done,
-                    const CoreFactory& make_core = MakeReducer);
+                    const GatewayCoreFactory& make_core = MakeReducer);
 
 }  // namespace curlewdoor::rehearsal
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/rehearsal/virtual_run.cpp
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-VirtualRun::VirtualRun(const Scenario& scenario, std::uint64_t seed, bool by_second, CoreFactory make_core)
+VirtualRun::VirtualRun(const Scenario& scenario, std::uint64_t seed, bool by_second,
+                       GatewayCoreFactory make_core)
     : scenario_(scenario),
       make_core_(std::move(make_core)),
       stage_(scenario, seed, kStart),
@@ -256,10 +257,10 @@
 void VirtualRun::Apply(int, const DeliverAnswer& effect) {
   Answer(effect.attempt.request, AnswerKind::kServed, 200, {});
 }
-void VirtualRun::Apply(int, const AnswerRefused& effect) {
+void VirtualRun::Apply(int, const RespondRefused& effect) {
   Answer(effect.request, AnswerKind::kRefused, 429, effect.retry_after);
 }
-void VirtualRun::Apply(int, const AnswerFailed& effect) {
+void VirtualRun::Apply(int, const RespondFailed& effect) {
   Answer(effect.request, AnswerKind::kFailed, 502, {});
 }
 
@@ -285,7 +286,7 @@
   asks_.erase(it);
   if (live.over) return;
   record_.Unanswered(now_, live.ask, false);
-  Post(live.ask.gateway, ClientLeft{RequestId{id}});
+  Post(live.ask.gateway, ClientDisconnected{RequestId{id}});
   stage_.crowd.Ended(now_, live.ask, standin::Ending::kFailed, {});
   TakeCrowd();
 }
@@ -342,7 +343,7 @@
   if (!failed) stage_.nodes[static_cast<std::size_t>(job.node)].machine->Disconnect();
   const VirtualJob gone = job;
   jobs_.erase(it);
-  Post(gone.gateway, AttemptBroken{gone.attempt});
+  Post(gone.gateway, AttemptFailed{gone.attempt});
 }
 
 // The last byte is handed to the system, and travels.
@@ -422,7 +423,7 @@
   } else {
     ++Kept(job.gateway, job.node);
   }
-  if (ends) return Post(job.gateway, AttemptBroken{job.attempt});
+  if (ends) return Post(job.gateway, AttemptFailed{job.attempt});
   const int status = says == NodeSays::kAnswer ? 200 : says == NodeSays::kTurnedAway ? 503 : 500;
   Post(job.gateway, AttemptAnswered{job.attempt, status, says == NodeSays::kTurnedAway, {}});
 }
@@ -451,7 +452,7 @@
   TakeOutputs(node, outputs_);
 }
 
-void VirtualRun::Apply(int g, const CloseKept& effect) {
+void VirtualRun::Apply(int g, const CloseIdleConnections& effect) {
   const int node = NodeOf(effect.host);
   if (node < 0) return;
   for (int& kept = Kept(g, node); kept > 0; --kept)
@@ -461,7 +462,7 @@
 void VirtualRun::Apply(int g, const StopSending& effect) {
   const int node = NodeOf(effect.host);
   for (JobId id : GatewayAt(g).connecting)
-    if (VirtualJob& job = jobs_.at(id); job.node == node) job.stop_by = effect.by;
+    if (VirtualJob& job = jobs_.at(id); job.node == node) job.stop_by = effect.deadline;
 }
 
 void VirtualRun::Apply(int g, const StartProbe& effect) {
@@ -469,7 +470,7 @@
   const bool up = node >= 0 && stage_.nodes[static_cast<std::size_t>(node)].machine->reachable();
   // The network's way is left out: a probe is not what rehearsals are about.
   if (up) return Post(g, ProbeAnswered{effect.probe, 200, {}});
-  Post(g, ProbeBroken{effect.probe});
+  Post(g, ProbeFailed{effect.probe});
 }
 
 // ---- Nodes --------------------------------------------------------------------------------------------
@@ -513,14 +514,14 @@
   const VirtualCall call = calls_.at(key);
   calls_.erase(key);
   if (GatewayAt(call.gateway).life != call.life) return;
-  if (stuck) return Post(call.gateway, CallBroken{call.call});
+  if (stuck) return Post(call.gateway, CallFailed{call.call});
   Post(call.gateway, CallAnswered{call.call, call.status, call.total});
 }
 
 // ---- Discovery ----------------------------------------------------------------------------------------
 
 void VirtualRun::TellMembers(int g, const standin::ListAnswer& list, bool cached) {
-  MembersTold told;
+  MembersReceived told;
   told.cached = cached;
   told.members.version = list.version;
   told.members.all = list.all;
@@ -560,7 +561,7 @@
 
 void VirtualRun::Apply(int g, const FetchMembers&) {
   const auto list = stage_.discovery.Read(now_, g, std::nullopt);
-  if (!list) return Post(g, MembersFailed{});
+  if (!list) return Post(g, MembersFetchFailed{});
   GatewayAt(g).version = list->version;
   TellMembers(g, *list, false);
 }
--- a/src/rehearsal/virtual_run.hpp
+++ b/src/rehearsal/virtual_run.hpp
@@ -23,7 +23,7 @@
  public:
   // `scenario` must outlive it. `by_second`: also the figures of each second, for reports.
   VirtualRun(const Scenario& scenario, std::uint64_t seed, bool by_second,
-             CoreFactory make_core = MakeReducer);
+             GatewayCoreFactory make_core = MakeReducer);
   ~VirtualRun() override;
 
   // To be called once. Throws std::runtime_error where the daemon would not take the scenario's
@@ -85,7 +85,7 @@
   };
   struct VirtualGateway {
     std::optional<config::Config> config;
-    std::unique_ptr<Core> core;  // none while it is down
+    std::unique_ptr<GatewayCore> core;  // none while it is down
     int life = 0;
     bool ending = false;
     TimePoint wakes = TimePoint::max();
@@ -127,13 +127,13 @@
   void Apply(int g, const StartAttempt& effect);
   void Apply(int g, const DropAttempt& effect);
   void Apply(int g, const DeliverAnswer& effect);
-  void Apply(int g, const AnswerRefused& effect);
-  void Apply(int g, const AnswerFailed& effect);
+  void Apply(int g, const RespondRefused& effect);
+  void Apply(int g, const RespondFailed& effect);
   void Apply(int g, const StartCall& effect);
   void Apply(int, const DropCall&) {}  // a call is written at once here
   void Apply(int g, const StartProbe& effect);
   void Apply(int, const DropProbe&) {}
-  void Apply(int g, const CloseKept& effect);
+  void Apply(int g, const CloseIdleConnections& effect);
   void Apply(int g, const StopSending& effect);
   void Apply(int g, const WatchMembers& effect);
   void Apply(int g, const FetchMembers& effect);
@@ -152,7 +152,7 @@
   int& Kept(int gateway, int node);
 
   const Scenario& scenario_;
-  const CoreFactory make_core_;
+  const GatewayCoreFactory make_core_;
   Stage stage_;
   Record record_;
   standin::Random random_;
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -272,7 +272,7 @@
   request.tried.push_back(*host);
   request.service->chooser.OnAttemptStart(*host);
   const AttemptId attempt{request.id, request.course.BeginAttempt()};
-  if (!uploads_.Start({attempt, *host, info.address, request.expires})) Post(AttemptBroken{attempt});
+  if (!uploads_.Start({attempt, *host, info.address, request.expires})) Post(AttemptFailed{attempt});
 }
 
 // ---- Attempts -----------------------------------------------------------------------------------------
@@ -303,7 +303,7 @@
   if (const auto* read = std::get_if<RequestRead>(&input)) return Begin(read->request.id);
   if (const auto* written = std::get_if<AttemptWritten>(&input))
     return Hear(written->attempt, Kind::kAllSent);
-  if (const auto* broken = std::get_if<AttemptBroken>(&input))
+  if (const auto* broken = std::get_if<AttemptFailed>(&input))
     return Hear(broken->attempt, Kind::kConnectionLost);
   if (const auto* answered = std::get_if<AttemptAnswered>(&input)) return HearAnswer(*answered);
 }
--- a/tests/kit/faulty_core.hpp
+++ b/tests/kit/faulty_core.hpp
@@ -37,17 +37,17 @@
      {"ignores-ceiling", Sabotage::kIgnoresCeiling},
      {"answers-late", Sabotage::kAnswersLate}}};
 
-class FaultyCore final : public Core {
+class FaultyCore final : public GatewayCore {
  public:
   FaultyCore(Sabotage sabotage, const Settings& settings, std::uint64_t seed)
       : sabotage_(sabotage), inner_(Twisted(sabotage, settings), seed) {}
 
   void Handle(TimePoint now, Input input, std::vector<Effect>& effects) override {
-    if (auto* told = std::get_if<MembersTold>(&input)) Twist(*told);
+    if (auto* told = std::get_if<MembersReceived>(&input)) Twist(*told);
     if (const auto* read = std::get_if<RequestRead>(&input))
       deadlines_[read->request.id.value] = now + read->request.time_left;
     // A break after the last byte: told as if the host had said that it never ran.
-    if (const auto* broken = std::get_if<AttemptBroken>(&input);
+    if (const auto* broken = std::get_if<AttemptFailed>(&input);
         broken != nullptr && sabotage_ == Sabotage::kRepeatsUnsafe)
       input = AttemptAnswered{broken->attempt, 503, true, {}};
     std::vector<Effect> meant;
@@ -64,13 +64,13 @@
     return due ? std::min(*due, held_.begin()->first) : held_.begin()->first;
   }
   std::size_t open_requests() const override { return inner_.open_requests() + held_.size(); }
-  std::size_t attempts_out() const override { return inner_.attempts_out(); }
+  std::size_t attempts_in_flight() const override { return inner_.attempts_in_flight(); }
   bool knows_hosts() const override { return inner_.knows_hosts(); }
-  std::size_t resting(TimePoint now) override { return inner_.resting(now); }
-  std::size_t undecided() const override { return inner_.undecided(); }
-  GatewaySnapshot HandOn() override { return inner_.HandOn(); }
-  void TakeOver(const GatewaySnapshot& memory) override { inner_.TakeOver(memory); }
-  void ServeAgain(TimePoint now) override { inner_.ServeAgain(now); }
+  std::size_t ejected_hosts(TimePoint now) override { return inner_.ejected_hosts(now); }
+  std::size_t unassigned_requests() const override { return inner_.unassigned_requests(); }
+  GatewaySnapshot ExportState() override { return inner_.ExportState(); }
+  void ImportState(const GatewaySnapshot& memory) override { inner_.ImportState(memory); }
+  void ResumeServing(TimePoint now) override { inner_.ResumeServing(now); }
 
  private:
   static constexpr int kEvery = 40;  // of its answers, one goes wrong
@@ -80,7 +80,7 @@
       for (Plan& plan : settings.plans) plan.rate = plan.burst = plan.ceiling_rate = plan.ceiling_burst = 0;
     return settings;
   }
-  void Twist(MembersTold& told) {
+  void Twist(MembersReceived& told) {
     for (Member& member : told.members.members) {
       if (sabotage_ == Sabotage::kSendsToDrained) member.entry.state = HostState::kReady;
       const bool newer =
@@ -103,11 +103,11 @@
     if (wrong && sabotage_ == Sabotage::kSwallowsAnswers) return;
     const RequestId request = answer != nullptr ? answer->attempt.request : RequestId{};
     if (wrong && sabotage_ == Sabotage::kAnswersLate) {
-      held_.emplace(deadlines_[request.value] + std::chrono::milliseconds(250), AnswerFailed{request});
+      held_.emplace(deadlines_[request.value] + std::chrono::milliseconds(250), RespondFailed{request});
       return;
     }
     effects.push_back(std::move(effect));
-    if (wrong && sabotage_ == Sabotage::kAnswersTwice) effects.push_back(AnswerFailed{request});
+    if (wrong && sabotage_ == Sabotage::kAnswersTwice) effects.push_back(RespondFailed{request});
   }
 
   const Sabotage sabotage_;
@@ -118,7 +118,7 @@
   std::multimap<TimePoint, Effect> held_;
 };
 
-inline CoreFactory MakeFaulty(Sabotage sabotage) {
+inline GatewayCoreFactory MakeFaulty(Sabotage sabotage) {
   return [sabotage](const Settings& settings, std::uint64_t seed) {
     return std::make_unique<FaultyCore>(sabotage, settings, seed);
   };
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -50,15 +50,15 @@
 TEST(StallMeter, CountsALongRoundAndALateWaking) {
   const TimePoint start{seconds(100)};
   StallMeter meter;
-  meter.Waits(start, start + seconds(1));
-  meter.Wakes(start + milliseconds(300));
-  EXPECT_EQ(meter.unseen(), Duration::zero());
-  meter.Waits(start + milliseconds(340), start + milliseconds(350));  // a round of 40 ms
-  meter.Wakes(start + milliseconds(360));                             // and 10 ms late
-  EXPECT_EQ(meter.unseen(), milliseconds(50));
-  meter.Waits(start + milliseconds(360), start + seconds(1));
-  meter.Wakes(start + milliseconds(400));
-  EXPECT_EQ(meter.unseen(), Duration::zero());
+  meter.BeforeWait(start, start + seconds(1));
+  meter.AfterWake(start + milliseconds(300));
+  EXPECT_EQ(meter.iteration_delay(), Duration::zero());
+  meter.BeforeWait(start + milliseconds(340), start + milliseconds(350));  // a round of 40 ms
+  meter.AfterWake(start + milliseconds(360));                              // and 10 ms late
+  EXPECT_EQ(meter.iteration_delay(), milliseconds(50));
+  meter.BeforeWait(start + milliseconds(360), start + seconds(1));
+  meter.AfterWake(start + milliseconds(400));
+  EXPECT_EQ(meter.iteration_delay(), Duration::zero());
 }
 
 // fleet-load-stall: what a stall has piled up is read over several turns, and is as old as the system says.
@@ -66,31 +66,31 @@
   const TimePoint start{seconds(100)};
   StallMeter meter;
   const auto turn = [&](TimePoint now) {
-    meter.Waits(now, now + milliseconds(100));
-    meter.Wakes(now);
+    meter.BeforeWait(now, now + milliseconds(100));
+    meter.AfterWake(now);
   };
-  meter.Waits(start, start + milliseconds(100));
-  meter.Wakes(start + milliseconds(5100));
-  EXPECT_EQ(meter.Unseen(start + milliseconds(5100), std::nullopt), seconds(5));
+  meter.BeforeWait(start, start + milliseconds(100));
+  meter.AfterWake(start + milliseconds(5100));
+  EXPECT_EQ(meter.InputDelay(start + milliseconds(5100), std::nullopt), seconds(5));
   TimePoint now = start + milliseconds(5101);
   turn(now);
-  EXPECT_TRUE(meter.behind(now));
-  EXPECT_EQ(meter.Unseen(now, milliseconds(2900)), milliseconds(2900));
-  EXPECT_EQ(meter.Unseen(now, std::nullopt), milliseconds(1));    // the turn's own
-  EXPECT_EQ(meter.Unseen(now, seconds(60)), milliseconds(5001));  // idle before: no older than the stall
-  meter.Waits(now, start + milliseconds(10200));
+  EXPECT_TRUE(meter.catching_up(now));
+  EXPECT_EQ(meter.InputDelay(now, milliseconds(2900)), milliseconds(2900));
+  EXPECT_EQ(meter.InputDelay(now, std::nullopt), milliseconds(1));    // the turn's own
+  EXPECT_EQ(meter.InputDelay(now, seconds(60)), milliseconds(5001));  // idle before: no older than the stall
+  meter.BeforeWait(now, start + milliseconds(10200));
   now = start + milliseconds(10100);
-  meter.Wakes(now);
-  EXPECT_FALSE(meter.behind(now));
+  meter.AfterWake(now);
+  EXPECT_FALSE(meter.catching_up(now));
 }
 
 TEST(StallMeter, OrdinaryTurnsAskTheSystemNothing) {
   TimePoint now{seconds(100)};
   StallMeter meter;
   for (int turn = 0; turn < 1000; ++turn) {
-    meter.Waits(now, now + seconds(1));
-    meter.Wakes(now);
-    EXPECT_FALSE(meter.behind(now));
+    meter.BeforeWait(now, now + seconds(1));
+    meter.AfterWake(now);
+    EXPECT_FALSE(meter.catching_up(now));
     now += milliseconds(1 + turn % 9);
   }
 }
--- a/tests/reducer_test.cpp
+++ b/tests/reducer_test.cpp
@@ -22,7 +22,7 @@
  protected:
   ReducerTest() {
     reducer_.emplace(SampleSettings(), 7);
-    Tell({Host(1), Host(2)});
+    SetMembers({Host(1), Host(2)});
   }
 
   static Member Host(std::uint64_t id, HostState state = HostState::kReady) {
@@ -46,13 +46,13 @@
   }
 
   void Handle(Input input) { reducer_->Handle(now_, std::move(input), effects_); }
-  void Tell(std::vector<Member> members, bool all = true) {
-    MembersTold told;
-    told.members.all = all;
-    told.members.members = std::move(members);
-    Handle(std::move(told));
+  void SetMembers(std::vector<Member> members, bool all = true) {
+    MembersReceived received;
+    received.members.all = all;
+    received.members.members = std::move(members);
+    Handle(std::move(received));
   }
-  // The effects of one kind since the last look at that kind, in order.
+  // Removes and returns the effects of one type, in order.
   template <typename E>
   std::vector<E> Take() {
     std::vector<E> taken;
@@ -69,13 +69,13 @@
     EXPECT_EQ(taken.size(), 1u);
     return taken.empty() ? E{} : taken.front();
   }
-  AttemptId Begin(std::uint64_t id, const std::string& kind) {
+  AttemptId StartRequest(std::uint64_t id, const std::string& kind) {
     Handle(RequestRead{Request(id, kind)});
     return TakeOne<StartAttempt>().attempt;
   }
-  void ExpectNothingHeld() const {
+  void ExpectNothingOpen() const {
     EXPECT_EQ(reducer_->open_requests(), 0u);
-    EXPECT_EQ(reducer_->attempts_out(), 0u);
+    EXPECT_EQ(reducer_->attempts_in_flight(), 0u);
   }
 
   TimePoint now_ = kStart;
@@ -94,28 +94,29 @@
   Handle(AttemptAnswered{start.attempt, 200, false, {}});
   EXPECT_EQ(TakeOne<DeliverAnswer>().attempt, start.attempt);
   EXPECT_TRUE(effects_.empty());
-  ExpectNothingHeld();
+  ExpectNothingOpen();
 }
 
-// What was never written whole never ran: it may go elsewhere even where repeats are unsafe.
+// A request that was not completely written was not processed, so it may be retried on another host even if
+// it is not safe to repeat.
 TEST_F(ReducerTest, BrokenBeforeTheLastByteCouldNotConnect) {
-  const AttemptId first = Begin(1, "checkout");
-  Handle(AttemptBroken{first});
+  const AttemptId first = StartRequest(1, "checkout");
+  Handle(AttemptFailed{first});
   EXPECT_EQ(TakeOne<StartAttempt>().attempt.number, 1);
-  EXPECT_TRUE(Take<AnswerFailed>().empty());
+  EXPECT_TRUE(Take<RespondFailed>().empty());
 }
 
 TEST_F(ReducerTest, BrokenAfterTheLastByteMayHaveRun) {
-  const AttemptId first = Begin(1, "checkout");
+  const AttemptId first = StartRequest(1, "checkout");
   Handle(AttemptWritten{first});
-  Handle(AttemptBroken{first});
+  Handle(AttemptFailed{first});
   EXPECT_TRUE(Take<StartAttempt>().empty());
-  EXPECT_EQ(TakeOne<AnswerFailed>().request, RequestId{1});
-  ExpectNothingHeld();
+  EXPECT_EQ(TakeOne<RespondFailed>().request, RequestId{1});
+  ExpectNothingOpen();
 }
 
-TEST_F(ReducerTest, OnlyMarkedAnswersWereTurnedAwayUnseen) {
-  const AttemptId marked = Begin(1, "checkout");
+TEST_F(ReducerTest, OnlyAnswersMarkedNotProcessedAreRetried) {
+  const AttemptId marked = StartRequest(1, "checkout");
   Handle(AttemptWritten{marked});
   Handle(AttemptAnswered{marked, 503, true, {}});
   EXPECT_EQ(TakeOne<StartAttempt>().attempt.number, 1);
@@ -123,17 +124,17 @@
       {503, false}, {504, false}, {500, false}, {500, true}, {404, true}};
   std::uint64_t id = 2;
   for (const auto& [status, mark] : others) {
-    const AttemptId attempt = Begin(id, "checkout");
+    const AttemptId attempt = StartRequest(id, "checkout");
     Handle(AttemptWritten{attempt});
     Handle(AttemptAnswered{attempt, status, mark, {}});
     EXPECT_TRUE(Take<StartAttempt>().empty()) << status;
-    EXPECT_EQ(TakeOne<AnswerFailed>().request, RequestId{id}) << status;
+    EXPECT_EQ(TakeOne<RespondFailed>().request, RequestId{id}) << status;
     ++id;
   }
 }
 
 TEST_F(ReducerTest, TimeOutGivesUpAndAnswersByTheDeadline) {
-  const AttemptId attempt = Begin(1, "checkout");
+  const AttemptId attempt = StartRequest(1, "checkout");
   Handle(AttemptWritten{attempt});
   ASSERT_TRUE(reducer_->NextDue());
   EXPECT_EQ(*reducer_->NextDue(), now_ + milliseconds(1000));
@@ -143,47 +144,48 @@
   now_ += milliseconds(1);
   Handle(TimePassed{});
   EXPECT_EQ(TakeOne<DropAttempt>().attempt, attempt);
-  EXPECT_EQ(TakeOne<AnswerFailed>().request, RequestId{1});
-  ExpectNothingHeld();
-  // Its answer comes late: nobody is told.
+  EXPECT_EQ(TakeOne<RespondFailed>().request, RequestId{1});
+  ExpectNothingOpen();
+  // A late answer is ignored.
   Handle(AttemptAnswered{attempt, 200, false, {}});
   EXPECT_TRUE(effects_.empty());
 }
 
-// Not written whole when its time is over: it never ran, so the refusal is honest.
-TEST_F(ReducerTest, TimeOutOfWhatWasNeverWrittenIsNoTimeOut) {
-  const AttemptId attempt = Begin(1, "checkout");
+// A request that was not completely written by its deadline was not processed, so it is answered as refused
+// rather than failed.
+TEST_F(ReducerTest, TimeOutBeforeTheLastByteIsARefusal) {
+  const AttemptId attempt = StartRequest(1, "checkout");
   now_ += milliseconds(1000);
   Handle(TimePassed{});
   EXPECT_EQ(TakeOne<DropAttempt>().attempt, attempt);
-  EXPECT_EQ(TakeOne<AnswerRefused>().request, RequestId{1});
+  EXPECT_EQ(TakeOne<RespondRefused>().request, RequestId{1});
 }
 
-// Guards against a stall of the gateway: what had come in time is not thrown away.
-TEST_F(ReducerTest, AnAnswerThatHasComeGoesBeforeItsTimeOut) {
-  const AttemptId attempt = Begin(1, "checkout");
+// Guards against discarding, after a stall of the gateway, an answer that had arrived in time.
+TEST_F(ReducerTest, AnArrivedAnswerIsHandledBeforeItsTimeOut) {
+  const AttemptId attempt = StartRequest(1, "checkout");
   Handle(AttemptWritten{attempt});
   now_ += milliseconds(1010);
   Handle(AttemptAnswered{attempt, 200, false, {}});
   Handle(TimePassed{});
   EXPECT_EQ(TakeOne<DeliverAnswer>().attempt, attempt);
-  EXPECT_TRUE(Take<AnswerFailed>().empty());
+  EXPECT_TRUE(Take<RespondFailed>().empty());
 }
 
-TEST_F(ReducerTest, ClientThatLeavesTakesItsAttemptsWithIt) {
-  const AttemptId attempt = Begin(1, "read");
+TEST_F(ReducerTest, ClientDisconnectDropsItsAttempts) {
+  const AttemptId attempt = StartRequest(1, "read");
   Handle(AttemptWritten{attempt});
-  Handle(ClientLeft{RequestId{1}});
+  Handle(ClientDisconnected{RequestId{1}});
   EXPECT_EQ(TakeOne<DropAttempt>().attempt, attempt);
   EXPECT_TRUE(effects_.empty());
-  ExpectNothingHeld();
-  Handle(ClientLeft{RequestId{1}});
+  ExpectNothingOpen();
+  Handle(ClientDisconnected{RequestId{1}});
   EXPECT_TRUE(effects_.empty());
 }
 
-// Nothing wakes for what has ended: most attempts and calls end long before their time is over.
-TEST_F(ReducerTest, TimersOfWhatHasEndedWakeNobody) {
-  const AttemptId attempt = Begin(1, "read");
+// No wake-up is scheduled for ended attempts and calls. Most of them end long before their timeout.
+TEST_F(ReducerTest, TimersOfEndedAttemptsAreDropped) {
+  const AttemptId attempt = StartRequest(1, "read");
   Handle(AttemptWritten{attempt});
   EXPECT_TRUE(reducer_->NextDue());
   Handle(AttemptAnswered{attempt, 200, false, {}});
@@ -192,36 +194,36 @@
 
 // ---- Hosts --------------------------------------------------------------------------------------------
 
-TEST_F(ReducerTest, DrainingAndGoneHostsGetNothingPastTheGrace) {
-  Tell({Host(1, HostState::kDraining)}, false);
+TEST_F(ReducerTest, DrainingAndRemovedHostsGetNothingPastTheGrace) {
+  SetMembers({Host(1, HostState::kDraining)}, false);
   EXPECT_EQ(TakeOne<StopSending>().host, HostId{1});
-  EXPECT_EQ(TakeOne<CloseKept>().host, HostId{1});
+  EXPECT_EQ(TakeOne<CloseIdleConnections>().host, HostId{1});
   for (std::uint64_t id = 1; id < 5; ++id) {
     Handle(RequestRead{Request(id, "read")});
     EXPECT_EQ(TakeOne<StartAttempt>().host, HostId{2});
   }
-  Tell({Host(2, HostState::kRemoved)}, false);
+  SetMembers({Host(2, HostState::kRemoved)}, false);
   const auto stop = TakeOne<StopSending>();
   EXPECT_EQ(stop.host, HostId{2});
-  EXPECT_EQ(stop.by, now_ + milliseconds(500));
+  EXPECT_EQ(stop.deadline, now_ + milliseconds(500));
   Handle(RequestRead{Request(9, "read")});
   EXPECT_TRUE(Take<StartAttempt>().empty());
-  EXPECT_EQ(TakeOne<AnswerRefused>().request, RequestId{9});
+  EXPECT_EQ(TakeOne<RespondRefused>().request, RequestId{9});
 }
 
-TEST_F(ReducerTest, AWholeListRemovesWhatItLacksAndChangesDoNot) {
-  Tell({Host(3)}, false);
+TEST_F(ReducerTest, OnlyAFullListRemovesMissingHosts) {
+  SetMembers({Host(3)}, false);
   EXPECT_TRUE(Take<StopSending>().empty());
-  Tell({Host(2), Host(3)});
+  SetMembers({Host(2), Host(3)});
   EXPECT_EQ(TakeOne<StopSending>().host, HostId{1});
-  Tell({});
+  SetMembers({});
   EXPECT_EQ(Take<StopSending>().size(), 2u);
   EXPECT_FALSE(reducer_->knows_hosts());
 }
 
 // ---- The counter --------------------------------------------------------------------------------------
 
-TEST_F(ReducerTest, ACallIsAnsweredThenTheRequestGoesOut) {
+TEST_F(ReducerTest, RequestIsSentAfterTheCounterAnswers) {
   Handle(RequestRead{Request(1, "read", "team")});
   EXPECT_TRUE(Take<StartAttempt>().empty());
   const auto call = TakeOne<StartCall>();
@@ -232,27 +234,28 @@
   EXPECT_EQ(TakeOne<StartAttempt>().attempt.request, RequestId{1});
 }
 
-// A counter that is slow, not silent, still tells true totals: the request goes on by share in time, and the
-// late answer makes the units that were added ours. What waits for a connection is given up at the time-out.
+// A slow counter still returns true totals. The request proceeds on this gateway's share without waiting, and
+// the late answer confirms the units that were added. A call that still waits for a connection is abandoned
+// at the timeout.
 TEST_F(ReducerTest, ASlowCounterIsNotWaitedForAndItsLateAnswerCounts) {
   Handle(RequestRead{Request(1, "read", "team")});
   const auto call = TakeOne<StartCall>();
   Handle(CallWritten{call.call});
-  now_ += milliseconds(25);  // a sixteenth of the shortest aim
+  now_ += milliseconds(25);  // 1/16 of the shortest latency target
   Handle(TimePassed{});
   EXPECT_EQ(TakeOne<StartAttempt>().attempt.request, RequestId{1});
   EXPECT_TRUE(Take<DropCall>().empty());
-  now_ += milliseconds(50);  // well past the counter's time-out
+  now_ += milliseconds(50);  // well past the counter's timeout
   Handle(TimePassed{});
   EXPECT_TRUE(effects_.empty());
-  Handle(CallAnswered{call.call, 200, 20.0});  // all of the quota, with others'
+  Handle(CallAnswered{call.call, 200, 20.0});  // the whole quota, including use by other gateways
   Handle(RequestRead{Request(2, "read", "team")});
-  EXPECT_EQ(TakeOne<AnswerRefused>().request, RequestId{2});
+  EXPECT_EQ(TakeOne<RespondRefused>().request, RequestId{2});
   Handle(RequestRead{Request(3, "checkout", "team")});
   EXPECT_TRUE(Take<StartCall>().empty());
 
   reducer_.emplace(SampleSettings(), 7);
-  Tell({Host(1), Host(2)});
+  SetMembers({Host(1), Host(2)});
   Handle(RequestRead{Request(1, "read", "team")});
   const auto unwritten = TakeOne<StartCall>();
   now_ += milliseconds(30);
@@ -260,40 +263,40 @@
   EXPECT_EQ(TakeOne<DropCall>().call, unwritten.call);
 }
 
-// Broken before its last byte a call added nothing, so what was let in meanwhile is still owed; after it,
-// it may have been added and is not added again.
-TEST_F(ReducerTest, WhatWasWrittenOfABrokenCallTellsWhetherItWasAdded) {
+// A call that fails before its last byte is written added nothing, so units admitted meanwhile are added by
+// the next call. A call that fails later may have been added and is not repeated.
+TEST_F(ReducerTest, OnlyFailedCallsThatWereNotWrittenAreAddedAgain) {
   std::map<bool, double> next_amount;
   for (const bool written : {false, true}) {
     reducer_.emplace(SampleSettings(), 7);
-    Tell({Host(1), Host(2)});
+    SetMembers({Host(1), Host(2)});
     Handle(RequestRead{Request(1, "read", "team")});
     const auto call = TakeOne<StartCall>();
     if (written) Handle(CallWritten{call.call});
-    Handle(CallBroken{call.call});
-    EXPECT_EQ(Take<StartAttempt>().size(), 1u);  // by share
+    Handle(CallFailed{call.call});
+    EXPECT_EQ(Take<StartAttempt>().size(), 1u);  // admitted on this gateway's share
     Handle(RequestRead{Request(2, "read", "team")});
     next_amount[written] = TakeOne<StartCall>().amount;
   }
   EXPECT_EQ(next_amount[false], next_amount[true] + 1);
 }
 
-TEST_F(ReducerTest, OddAnswersOfTheCounter) {
+TEST_F(ReducerTest, CounterAnswersWithoutATotalDoNotBlockRequests) {
   for (const int status : {503, 400, 404, 200, 500}) {
     Handle(RequestRead{Request(static_cast<std::uint64_t>(status), "read", "team")});
     const auto calls = Take<StartCall>();
     if (!calls.empty()) Handle(CallAnswered{calls.front().call, status, std::nullopt});
-    EXPECT_EQ(Take<StartAttempt>().size(), 1u) << status;  // none of them holds the request
+    EXPECT_EQ(Take<StartAttempt>().size(), 1u) << status;  // no such answer delays the request
   }
 }
 
-// A 200 without a number was added, and the counter is there: it is neither added again nor taken for
-// silence.
-TEST_F(ReducerTest, AnswersOfTheCounterWithoutANumberAreAddedAndNoSilence) {
+// A 200 without a number means that the call was added and the counter is reachable: the amount is not added
+// again, and the counter is not reported as unresponsive.
+TEST_F(ReducerTest, CounterAnswersWithoutANumberAreAddedAndNotUnresponsive) {
   std::map<int, std::vector<double>> amounts;
   for (const int status : {200, 503}) {
     reducer_.emplace(SampleSettings(), 7);
-    Tell({Host(1), Host(2)});
+    SetMembers({Host(1), Host(2)});
     for (std::uint64_t id = 1; id <= 3; ++id) {
       Handle(RequestRead{Request(id, "read", "team")});
       const auto call = TakeOne<StartCall>();
@@ -307,11 +310,12 @@
   EXPECT_EQ(amounts[200][1] + 1, amounts[503][1]);
 }
 
-// ---- All together -------------------------------------------------------------------------------------
+// ---- Properties ---------------------------------------------------------------------------------------
 
-// Whatever hosts, the counter, discovery and clients do: each request that was taken gets one final answer
-// by its deadline unless its client left, nothing is begun for it after that, and at the end nothing is held.
-TEST(ReducerProperty, EveryTakenRequestGetsOneFinalAnswerInTime) {
+// For any behaviour of hosts, counter, discovery and clients, each accepted request gets exactly one final
+// answer by its deadline unless its client disconnects. No attempt starts after that, and at the end no
+// request and no attempt is left.
+TEST(ReducerProperty, EveryAcceptedRequestGetsOneFinalAnswerInTime) {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     std::mt19937 random(seed);
     const auto chance = [&](int percent) { return static_cast<int>(random() % 100) < percent; };
@@ -325,20 +329,21 @@
     const auto handle = [&](Input input) {
       reducer.Handle(now, std::move(input), effects);
       for (const Effect& effect : effects) {
-        const auto ends = [&](RequestId id) {
+        const auto close = [&](RequestId id) {
           EXPECT_EQ(open.erase(id), 1u) << "answered twice, seed " << seed;
         };
         if (const auto* e = std::get_if<StartAttempt>(&effect)) {
-          EXPECT_TRUE(open.contains(e->attempt.request)) << "begun after the end, seed " << seed;
+          EXPECT_TRUE(open.contains(e->attempt.request))
+              << "attempt started after the final answer, seed " << seed;
           attempts.push_back(e->attempt);
         } else if (const auto* drop = std::get_if<DropAttempt>(&effect)) {
           std::erase(attempts, drop->attempt);
         } else if (const auto* answer = std::get_if<DeliverAnswer>(&effect)) {
-          ends(answer->attempt.request);
-        } else if (const auto* refused = std::get_if<AnswerRefused>(&effect)) {
-          ends(refused->request);
-        } else if (const auto* failed = std::get_if<AnswerFailed>(&effect)) {
-          ends(failed->request);
+          close(answer->attempt.request);
+        } else if (const auto* refused = std::get_if<RespondRefused>(&effect)) {
+          close(refused->request);
+        } else if (const auto* failed = std::get_if<RespondFailed>(&effect)) {
+          close(failed->request);
         } else if (const auto* call = std::get_if<StartCall>(&effect)) {
           calls.push_back(call->call);
         }
@@ -355,8 +360,8 @@
       now = until;
     };
     const auto members = [&] {
-      MembersTold told;
-      told.members.all = chance(30);
+      MembersReceived received;
+      received.members.all = chance(30);
       for (std::uint64_t id = 1; id <= 4; ++id) {
         Member member;
         member.entry.host = HostId{id};
@@ -364,9 +369,9 @@
                              : chance(50) ? HostState::kDraining
                                           : HostState::kRemoved;
         if (chance(20)) member.entry.started = now - seconds(1);
-        if (chance(70)) told.members.members.push_back(member);
+        if (chance(70)) received.members.members.push_back(member);
       }
-      return told;
+      return received;
     };
     handle(members());
     for (int step = 0; step < 3000; ++step) {
@@ -393,7 +398,7 @@
             handle(AttemptWritten{id});
             handle(AttemptAnswered{id, chance(80) ? 200 : chance(50) ? 503 : 500, chance(50), {}});
           } else {
-            handle(AttemptBroken{id});
+            handle(AttemptFailed{id});
           }
         }
       }
@@ -404,32 +409,33 @@
         if (chance(70)) {
           handle(CallAnswered{id, chance(90) ? 200 : 503, 3.0 + step});
         } else {
-          handle(CallBroken{id});
+          handle(CallFailed{id});
         }
       }
       if (chance(3)) handle(members());
       if (!open.empty() && chance(3)) {
         const RequestId id = open.begin()->first;
         open.erase(open.begin());
-        handle(ClientLeft{id});
+        handle(ClientDisconnected{id});
       }
     }
     advance(seconds(5));
     EXPECT_TRUE(open.empty()) << "never answered, seed " << seed;
     EXPECT_EQ(reducer.open_requests(), 0u) << seed;
-    EXPECT_EQ(reducer.attempts_out(), 0u) << seed;
+    EXPECT_EQ(reducer.attempts_in_flight(), 0u) << seed;
   }
 }
 
-// Off it costs no call and no timer; on, two calls a slot that the module never hears of.
-TEST(ReducerPresence, CallsOnlyWhereItIsSwitchedOn) {
+// Disabled, presence makes no calls and sets no timers. Enabled, it makes two calls per slot that are not
+// reported to the gateway logic.
+TEST(ReducerPresence, CallsOnlyIfEnabled) {
   Settings settings = SampleSettings();
   const auto calls_in_two_seconds = [&] {
     Reducer reducer(settings, 7);
     std::vector<Effect> effects;
     TimePoint now = kStart;
     std::size_t calls = 0;
-    reducer.Handle(now, MembersFailed{}, effects);
+    reducer.Handle(now, MembersFetchFailed{}, effects);
     while (const auto due = reducer.NextDue()) {
       if (*due >= kStart + seconds(2)) break;
       now = *due;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -428,7 +428,7 @@
 
   // One that breaks ends all that wait on it, each once.
   counter_->peers[1]->Reset();
-  ASSERT_TRUE(Until([&] { return told.Count<CallBroken>() == 2; }));
+  ASSERT_TRUE(Until([&] { return told.Count<CallFailed>() == 2; }));
   EXPECT_EQ(told.Count<CallWritten>(), 8u);
   counter.Reap();
 }
@@ -462,7 +462,7 @@
   start(5);
   ASSERT_NE(PeerThatSaid(*counter_, 4, "POST /tally/105?"), nullptr);
   counter.CheckTimes();  // what it owes may have been added
-  EXPECT_EQ(told.Count<CallBroken>(), 4u);
+  EXPECT_EQ(told.Count<CallFailed>(), 4u);
   EXPECT_EQ(counter.connections(), 1u);
   // However long it stays silent, only so many are held; calls on one that makes room are ended.
   for (std::uint64_t id = 6; id <= 20; ++id) {
@@ -472,7 +472,7 @@
     counter.Reap();
   }
   EXPECT_EQ(counter.connections(), 8u);
-  EXPECT_EQ(told.Count<CallBroken>(), 12u);
+  EXPECT_EQ(told.Count<CallFailed>(), 12u);
 }
 
 // An answer without a number tells that its call was added; those behind it will see none.
@@ -490,7 +490,7 @@
     const auto* answer = std::get_if<CallAnswered>(&input);
     EXPECT_FALSE(answer != nullptr && answer->total);
   }
-  EXPECT_EQ(told.Count<CallBroken>(), 1u);
+  EXPECT_EQ(told.Count<CallFailed>(), 1u);
   EXPECT_EQ(counter.connections(), 3u);
   EXPECT_TRUE(Until([&] { return counter_->peers[0]->ended; }));
   counter.Reap();
@@ -688,7 +688,7 @@
   };
   for (std::uint64_t id = 1; id <= most; ++id) start(id);
   start(most + 1);  // all are busy
-  EXPECT_EQ(told.Count<AttemptBroken>(), 1u);
+  EXPECT_EQ(told.Count<AttemptFailed>(), 1u);
   const auto all_said = [&] {
     return host_->peers.size() == most &&
            std::all_of(host_->peers.begin(), host_->peers.end(), [](auto& peer) { return peer->Got("r1"); });
@@ -700,7 +700,7 @@
   start(most + 2);  // all are kept: the oldest makes room
   EXPECT_NE(PeerThatSaid(*host_, most, "r1"), nullptr);
   EXPECT_EQ(upstream.connections(), most);
-  EXPECT_EQ(told.Count<AttemptBroken>(), 1u);
+  EXPECT_EQ(told.Count<AttemptFailed>(), 1u);
   upstream.Reap();
 }
 
--- a/tests/system/pipeline_test.cpp
+++ b/tests/system/pipeline_test.cpp
@@ -109,7 +109,7 @@
       if (!upstream_.stream_begins()) return Deliver(id, *upstream_.current_answer());
       BeginDelivery(id, *upstream_.current_answer());
       if (streams_.contains(id)) upstream_.StreamTo(id);
-    } else if (const auto* broken = std::get_if<AttemptBroken>(&input)) {
+    } else if (const auto* broken = std::get_if<AttemptFailed>(&input)) {
       Fail(broken->attempt.request);
     }
   }
