--- a/src/coordination/command_fields.hpp
+++ b/src/coordination/command_fields.hpp
@@ -1,4 +1,5 @@
-// The fields of commands and results, in their order in the log and on the link (packing.hpp).
+// The fields of commands and results, in the order of their encoding in the log and between gateways
+// (packing.hpp).
 #pragma once
 
 #include <tuple>
@@ -19,7 +20,7 @@
 inline auto Fields(NumberTaken& v) { return std::tie(v.value); }
 inline auto Fields(KeyPut& v) { return std::tie(v.revision); }
 inline auto Fields(KeyConflict& v) { return std::tie(v.revision); }
-inline auto Fields(OutcomeForgotten&) { return std::tie(); }
-inline auto Fields(NoRoom&) { return std::tie(); }
+inline auto Fields(OutcomeExpired&) { return std::tie(); }
+inline auto Fields(LimitReached&) { return std::tie(); }
 
 }  // namespace curlewdoor::coordination
--- a/src/system/front.cpp
+++ b/src/system/front.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "counting/quota_plan.hpp"
 #include "events/events.hpp"
 #include "net/request.hpp"
 #include "net/socket_io.hpp"
+#include "quota/quota_plan.hpp"
 #include "system/headers.hpp"
 #include "util/hash.hpp"
 #include "util/number.hpp"
@@ -14,10 +14,10 @@
 namespace curlewdoor::system {
 namespace {
 
+using retry::AttemptOutcome;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using trying::Ending;
-using How = trying::Ending::How;
+using Result = retry::AttemptOutcome::Result;
 
 constexpr Duration kConnectTimeout =
     milliseconds(120);                                 // within a region: some round trips and a slot's turn
@@ -80,7 +80,7 @@
       timer_(loop, [this](int) { OnTimer(); }),
       count_timer_(loop,
                    [this](int) {
-                     for (const CountAnswered& answer : std::exchange(counted_, {})) OnCount(answer);
+                     for (const CounterReply& answer : std::exchange(counted_, {})) OnCount(answer);
                    }),
       salt_(rng_()),
       fresh_(settings.bootstrap) {
@@ -99,8 +99,8 @@
   gateways_ = std::max(1, gateways);
   index_ = index;
   in_zone_ = in_zone;
-  const Duration wait = OneRegion(settings_) ? counting::kCountWait : kFarCountWait;
-  leases_.Configure(Now(), counting::LeaseOptions(gateways_, wait, salt_, settings_.bounds.quota_slack));
+  const Duration wait = OneRegion(settings_) ? quota::kCounterWait : kFarCountWait;
+  leases_.Configure(Now(), quota::MakeLeaseOptions(gateways_, wait, salt_, settings_.bounds.quota_slack));
   for (auto& [name, service] : services_) service->budget.SetGateways(gateways_);
   return moved;
 }
@@ -162,10 +162,11 @@
           ? Duration(route->timeout)
           : std::min<Duration>(route->timeout, milliseconds(std::min<std::uint64_t>(deadline, 86'400'000)));
   request.expires = request.arrived + left;
-  request.course = trying::Course(route->repeat == policy::Repeat::kIdempotent, route->max_attempts);
+  request.course = retry::AttemptSequence(route->type == policy::RouteType::kIdempotent, route->max_attempts);
   request.rank =
       static_cast<int>(std::lower_bound(ranks_.begin(), ranks_.end(), route->priority) - ranks_.begin());
-  if (!told.empty()) request.spent = pressure_.Spent(request.arrived, route->name, milliseconds(deadline));
+  if (!told.empty())
+    request.spent = pressure_.TimeSpent(request.arrived, route->name, milliseconds(deadline));
   requests_.emplace(id, std::move(request));
   RequestArrived came;
   came.id = id;
@@ -178,7 +179,7 @@
 bool Front::MayGoAhead(const http::Message& message) const {
   if (policy_ == nullptr || message.method() != HTTP_GET) return false;
   const policy::Route* route = policy_->FindRoute(message.Find("Host"), OriginForm(message.target()));
-  return route != nullptr && route->repeat == policy::Repeat::kIdempotent;
+  return route != nullptr && route->type == policy::RouteType::kIdempotent;
 }
 
 void Front::Begin(RequestId id) {
@@ -194,12 +195,12 @@
   const auto plan = plans_.find(request.tenant);
   if (request.tenant.empty() || plan == plans_.end()) return Dispatch(request);
   request.steps = request.rank + (request.spent + FromSeconds(Mean(request)) > request.route->target_latency);
-  if (!pressure_.MayAsk(request.arrived, request.tenant, plan->second->window, request.steps, Random()))
+  if (!pressure_.Allow(request.arrived, request.tenant, plan->second->window, request.steps, Random()))
     return Refuse(request, plan->second->window);
   request.claim.id = id;
   request.claim.units = 1;
   request.claim.arrived = request.arrived;
-  leases_.Ask(Now(), request.claim, request.tenant, plan->second);
+  leases_.Acquire(Now(), request.claim, request.tenant, plan->second);
 }
 
 void Front::Admit(Leases::Claim& claim) {
@@ -215,9 +216,10 @@
   if (it == requests_.end()) return;
   // What a share refuses says nothing of the units that are left elsewhere.
   const Leases::Customer& customer = *claim.customer;
-  const bool by_count = !leases_.memory().silent && !(customer.calling && customer.given_up) &&
+  const bool by_count = !leases_.state().counter_down && !(customer.calling && customer.given_up) &&
                         Now() < claim.arrived + leases_.options().wait;
-  if (by_count && it->second.steps == 0) pressure_.Refused(Now(), it->second.tenant, customer.plan->window);
+  if (by_count && it->second.steps == 0)
+    pressure_.RecordRefusal(Now(), it->second.tenant, customer.plan->window);
   Refuse(it->second, retry_after);
 }
 
@@ -251,7 +253,7 @@
   Run([this] {
     for (const RequestId id : std::exchange(waiting_, {})) {
       const auto it = requests_.find(id);
-      if (it != requests_.end() && !it->second.course.out()) Attempt(it->second);
+      if (it != requests_.end() && !it->second.course.in_progress()) Attempt(it->second);
     }
   });
 }
@@ -268,9 +270,9 @@
   request.instance = info.instance;
   request.sent = now;
   request.tried.push_back(*host);
-  request.service->chooser.Started(*host);
-  const AttemptId attempt{request.id, request.course.Begin()};
-  if (!uploads_.Start({attempt, *host, info.address, request.expires})) Post(AttemptBroken{attempt});
+  request.service->chooser.OnAttemptStart(*host);
+  const AttemptId attempt{request.id, request.course.BeginAttempt()};
+  if (!uploads_.Start({attempt, *host, info.address, request.expires})) Post(AttemptFailed{attempt});
 }
 
 // ---- Attempts -----------------------------------------------------------------------------------------
@@ -297,11 +299,12 @@
 }
 
 void Front::Handle(const Input& input) {
-  using Kind = trying::AttemptEvent::Kind;
+  using Kind = retry::AttemptEvent::Kind;
   if (const auto* read = std::get_if<RequestRead>(&input)) return Begin(read->request.id);
   if (const auto* written = std::get_if<AttemptWritten>(&input))
     return Hear(written->attempt, Kind::kAllSent);
-  if (const auto* broken = std::get_if<AttemptBroken>(&input)) return Hear(broken->attempt, Kind::kBroken);
+  if (const auto* broken = std::get_if<AttemptFailed>(&input))
+    return Hear(broken->attempt, Kind::kConnectionLost);
   if (const auto* answered = std::get_if<AttemptAnswered>(&input)) return HearAnswer(*answered);
 }
 
@@ -311,12 +314,12 @@
 }
 
 // Not by way of Post(): nothing that ends the attempt may be judged before this is known.
-void Front::OnBytesSent(const AttemptId& attempt) { Hear(attempt, trying::AttemptEvent::Kind::kBytesSent); }
+void Front::OnBytesSent(const AttemptId& attempt) { Hear(attempt, retry::AttemptEvent::Kind::kBytesSent); }
 
-void Front::Hear(const AttemptId& attempt, trying::AttemptEvent::Kind kind) {
+void Front::Hear(const AttemptId& attempt, retry::AttemptEvent::Kind kind) {
   Request* request = Find(attempt.request);
   if (request == nullptr) return;
-  const auto ending = request->course.Take({kind, attempt.number, {}});
+  const auto ending = request->course.OnEvent({kind, attempt.number, {}});
   if (ending) EndAttempt(*request, *ending, nullptr);
 }
 
@@ -324,57 +327,57 @@
   Request* request = Find(answered.attempt.request);
   const http::Message* message = upstream_.current_answer();
   if (request == nullptr || message == nullptr) return;
-  trying::HostAnswer answer{.status = answered.status, .not_run = answered.not_processed};
-  answer.bound = message->Find(kAttemptIdHeader) == request->wire_id;
+  retry::HostAnswer answer{.status = answered.status, .not_executed = answered.not_processed};
+  answer.matches_request = message->Find(kAttemptIdHeader) == request->wire_id;
   // One without a length is done when its connection ends in order: a reset breaks the attempt, or the
   // stream.
-  answer.whole = message->done() || upstream_.stream_begins();
+  answer.complete = message->done() || upstream_.stream_begins();
   // One that was coded is not the host's.
   answer.sealed = !message->Find(kSealHeader).empty() && !message->Has("Content-Encoding");
   const auto ending =
-      request->course.Take({trying::AttemptEvent::Kind::kAnswered, answered.attempt.number, answer});
+      request->course.OnEvent({retry::AttemptEvent::Kind::kAnswered, answered.attempt.number, answer});
   if (ending) EndAttempt(*request, *ending, message);
 }
 
 // The attempt that is out, if one is: its connection is closed, so that a late answer reaches nobody.
-void Front::GiveUp(Request& request, choosing::End end) {
+void Front::GiveUp(Request& request, load_balancing::AttemptFeedback end) {
   const AttemptId attempt{request.id, request.course.attempt()};
-  if (!request.course.Take({trying::AttemptEvent::Kind::kGivenUp, attempt.number, {}})) return;
-  request.service->chooser.Ended(Now(), request.host, end, 0);
+  if (!request.course.OnEvent({retry::AttemptEvent::Kind::kAbandoned, attempt.number, {}})) return;
+  request.service->chooser.OnAttemptEnd(Now(), request.host, end, 0);
   upstream_.Drop(attempt);
 }
 
-void Front::EndAttempt(Request& request, const Ending& ending, const http::Message* answer) {
+void Front::EndAttempt(Request& request, const AttemptOutcome& ending, const http::Message* answer) {
   const TimePoint now = Now();
   Service& service = *request.service;
   const double latency = Seconds(now - request.sent), mean = Mean(request);
-  using choosing::End;
-  End end = End::kFailed;
-  if (ending.how == How::kNoConnect) end = End::kNoConnect;
-  if (ending.how == How::kTimedOut) end = End::kFailed;
-  if (ending.how == How::kAnswered) {
+  using load_balancing::AttemptFeedback;
+  AttemptFeedback end = AttemptFeedback::kFailed;
+  if (ending.result == Result::kConnectFailed) end = AttemptFeedback::kConnectFailed;
+  if (ending.result == Result::kTimedOut) end = AttemptFeedback::kFailed;
+  if (ending.result == Result::kAnswered) {
     if (ending.status == 421) {
-      end = End::kElsewhere;
-    } else if (ending.not_run) {
-      end = End::kFull;
+      end = AttemptFeedback::kWrongHost;
+    } else if (ending.not_executed) {
+      end = AttemptFeedback::kOverloaded;
     } else if (ending.sealed && ending.status < 500) {
-      end = End::kAnswered;
+      end = AttemptFeedback::kAnswered;
     }
   }
-  service.chooser.Ended(now, request.host, end, mean > 0 ? latency / mean : 1);
-  if (end == End::kAnswered && ending.status < 300) {
+  service.chooser.OnAttemptEnd(now, request.host, end, mean > 0 ? latency / mean : 1);
+  if (end == AttemptFeedback::kAnswered && ending.status < 300) {
     const auto [it, first] = service.means.try_emplace(request.route->name, latency);
     if (!first) it->second += kMeanStep * (latency - it->second);
   }
-  if (end != End::kAnswered && events::Heard(events::Event::kAttemptFailed))
+  if (end != AttemptFeedback::kAnswered && events::Heard(events::Event::kAttemptFailed))
     events::Say(events::Event::kAttemptFailed,
                 service.name + " host " + request.instance + " how " +
-                    std::to_string(static_cast<int>(ending.how)) + " status " +
+                    std::to_string(static_cast<int>(ending.result)) + " status " +
                     std::to_string(ending.status) +
-                    (ending.sent == trying::Sent::kAll ? " written" : " not written"));
+                    (ending.sent == retry::BytesSent::kAll ? " written" : " not written"));
   const bool time = now + FromSeconds(mean / 2) < request.expires;
-  switch (request.course.Follow(ending, service.budget.Covers(now), time)) {
-    case trying::Next::kPass: {
+  switch (request.course.DecideNextStep(ending, service.budget.Allows(now), time)) {
+    case retry::NextStep::kForward: {
       const RequestId id = request.id;
       ++figures_.passed;
       Forget(request);
@@ -385,12 +388,12 @@
       }
       return Deliver(id, *answer);
     }
-    case trying::Next::kAgain:
+    case retry::NextStep::kRetry:
       ++figures_.again;
-      if (trying::Arrived(ending)) service.budget.Spend(now);
+      if (retry::MayHaveReachedHost(ending)) service.budget.Spend(now);
       return Dispatch(request);
-    case trying::Next::kDecline:
-    case trying::Next::kFail:
+    case retry::NextStep::kDecline:
+    case retry::NextStep::kFail:
       return Conclude(request, ComeBack(request), 502);
   }
 }
@@ -403,8 +406,8 @@
 // this status.
 void Front::Conclude(Request& request, Duration retry_after, int status) {
   const RequestId id = request.id;
-  const bool promise = request.course.MayPromise();
-  if (promise && request.claim.customer != nullptr) leases_.Return(Now(), request.claim);
+  const bool promise = request.course.IsKnownNotExecuted();
+  if (promise && request.claim.customer != nullptr) leases_.Release(Now(), request.claim);
   Forget(request);
   if (promise) {
     ++figures_.declined;
@@ -427,8 +430,8 @@
   if (it == requests_.end()) return;
   Request& request = it->second;
   ++figures_.left;
-  if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-  GiveUp(request, choosing::End::kNothing);
+  if (request.claim.customer != nullptr && !request.held_open) leases_.Cancel(request.claim);
+  GiveUp(request, load_balancing::AttemptFeedback::kCancelled);
   Forget(request);
 }
 
@@ -445,19 +448,20 @@
 void Front::RefuseBody(Request& request) {
   const RequestId id = request.id;
   ++counts_.rejected;
-  if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-  GiveUp(request, choosing::End::kNothing);
+  if (request.claim.customer != nullptr && !request.held_open) leases_.Cancel(request.claim);
+  GiveUp(request, load_balancing::AttemptFeedback::kCancelled);
   Forget(request);
   Decline(id, 413, {}, kBodyTooLarge);
 }
 
 void Front::OnBound(const AttemptId& attempt) {
-  if (const auto it = requests_.find(attempt.request); it != requests_.end()) it->second.course.Bind();
+  if (const auto it = requests_.find(attempt.request); it != requests_.end())
+    it->second.course.MarkBodyReleased();
 }
 
 // ---- Times --------------------------------------------------------------------------------------------
 
-void Front::Start(const SetTimer& timer) {
+void Front::StartTimer(const SetTimer& timer) {
   count_timers_.emplace(Now() + timer.delay, timer.token.value);
   ArmTimer();
 }
@@ -485,24 +489,24 @@
       if (it == requests_.end()) continue;
       ++figures_.expired;
       Request& request = it->second;
-      if (request.claim.customer != nullptr && !request.held_open) leases_.OnGone(request.claim);
-      GiveUp(request, choosing::End::kFailed);
+      if (request.claim.customer != nullptr && !request.held_open) leases_.Cancel(request.claim);
+      GiveUp(request, load_balancing::AttemptFeedback::kFailed);
       Conclude(request, milliseconds(50), 504);
     }
   });
   ArmTimer();
 }
 
-void Front::OnCount(const CountAnswered& answer) {
-  Run([&] { leases_.OnCount(Now(), answer); });
+void Front::OnCount(const CounterReply& answer) {
+  Run([&] { leases_.OnCounterReply(Now(), answer); });
 }
 
-void Front::CountLater(const CountAnswered& answer) {
+void Front::CountLater(const CounterReply& answer) {
   counted_.push_back(answer);
   if (!count_timer_.active()) count_timer_.StartIn(Duration::zero());
 }
 
-void Front::Note(const Log& line) { events::Say(events::Event::kCounterSilent, line.text); }
+void Front::WriteLog(const WriteLogLine& line) { events::Say(events::Event::kCounterSilent, line.text); }
 
 void Front::KeepHouse() {
   Run([this] {
--- a/src/system/front.hpp
+++ b/src/system/front.hpp
@@ -14,18 +14,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "choosing/choosing.hpp"
-#include "counting/pressure.hpp"
-#include "directory/by_service.hpp"
+#include "load_balancing/load_balancer.hpp"
 #include "logic/leases.hpp"
 #include "net/door.hpp"
 #include "net/uploads.hpp"
 #include "net/upstream.hpp"
 #include "policy/policy.hpp"
 #include "policy/split_sequence.hpp"
-#include "registry/lease.hpp"
+#include "quota/priority_throttle.hpp"
+#include "registry_replication/lease.hpp"
+#include "retry/attempt.hpp"
+#include "service_registry/hosts_by_service.hpp"
 #include "settings/settings.hpp"
-#include "trying/attempt.hpp"
 #include "util/hash.hpp"
 
 namespace curlewdoor::system {
@@ -33,13 +33,13 @@
 class Front : public net::Door, net::Inputs, net::Uploads::Owner, net::Dialect, Leases::Port {
  public:
   // Adds to the tenant's count, wherever it stands; the answer comes by OnCount().
-  using AddToCount = std::function<void(const std::string& tenant, const AddCount& call)>;
+  using AddToCount = std::function<void(const std::string& tenant, const AddToCounter& call)>;
   using OffsetOf = std::function<Duration(const std::string& tenant)>;
 
   // Whether what is known here may be gone by: the list of hosts, and the configuration in force. Empty:
   // always.
   struct Knowledge {
-    const registry::RegistryLease* hosts = nullptr;
+    const registry_replication::RegistryLease* hosts = nullptr;
     std::function<bool()> config_is_current{};
   };
   Front(struct ev_loop* loop, const settings::NodeSettings& settings, net::Descriptors& descriptors,
@@ -52,7 +52,7 @@
   // Only forward: an older version than the one in force changes nothing.
   void SetPolicy(std::shared_ptr<const policy::Policy> policy);
   const std::shared_ptr<const policy::Policy>& policy() const { return policy_; }
-  void SetHosts(const directory::ByService& hosts);
+  void SetHosts(const service_registry::HostsByService& hosts);
   // How many there are, and which this one is of those in its zone.
   // Tells whether that is another part of the hosts than before.
   bool SetGateways(int gateways, std::size_t index, std::size_t in_zone);
@@ -60,8 +60,8 @@
   std::shared_ptr<const Plan> PlanOf(const std::string& tenant) const;
   // Requests that wait until what is known here is proved go on, if it is, or if that is done without.
   void SendWaiting();
-  void OnCount(const CountAnswered& answer);
-  void CountLater(const CountAnswered& answer);  // the same from within AddToCount: from the loop
+  void OnCount(const CounterReply& answer);
+  void CountLater(const CounterReply& answer);  // the same from within AddToCount: from the loop
 
   // What is to be done now and then: times, idle connections.
   void KeepHouse();
@@ -81,7 +81,7 @@
   const Figures& figures() const { return figures_; }
   std::uint64_t opened() const { return upstream_.opened(); }
   std::size_t host_connections() const { return upstream_.connections(); }
-  std::vector<Leases::View> LookAtTenants() { return leases_.Look(Now()); }  // for operators
+  std::vector<Leases::CustomerView> LookAtTenants() { return leases_.ListCustomers(Now()); }  // for operators
 
  private:
   // What no configuration's limit goes beyond here; the limit in force is looked at with each request.
@@ -89,8 +89,8 @@
 
   struct Service {
     std::string name;
-    choosing::Chooser chooser;
-    trying::Budget budget;
+    load_balancing::LoadBalancer chooser;
+    retry::RetryBudget budget;
     std::map<std::string, double> means;  // seconds that answers take, by route
     bool known = true;
   };
@@ -100,7 +100,7 @@
     const policy::Route* route = nullptr;
     Service* service = nullptr;
     std::string tenant, wire_id;
-    trying::Course course;  // of its attempts at hosts
+    retry::AttemptSequence course;  // of its attempts at hosts
     Leases::Claim claim;
     bool held_open = false;  // its customer's `open` counts it
     Duration spent{};        // that its client has waited already
@@ -154,18 +154,18 @@
   // Leases.
   void Admit(Leases::Claim& claim) override;
   void Deny(Leases::Claim& claim, Duration retry_after) override;
-  void Add(const std::string& customer, const AddCount& call) override { add_(customer, call); }
-  void Start(const SetTimer& timer) override;
-  void Note(const Log& line) override;
+  void Add(const std::string& customer, const AddToCounter& call) override { add_(customer, call); }
+  void StartTimer(const SetTimer& timer) override;
+  void WriteLog(const WriteLogLine& line) override;
   Duration ClockOffset(const std::string& customer) const override { return offset_(customer); }
 
   template <typename Do>
   void Run(Do&& act);  // and all that is posted meanwhile
   void Handle(const Input& input);
   Request* Find(RequestId id);
-  void Hear(const AttemptId& attempt, trying::AttemptEvent::Kind kind);
+  void Hear(const AttemptId& attempt, retry::AttemptEvent::Kind kind);
   void HearAnswer(const AttemptAnswered& answered);
-  void GiveUp(Request& request, choosing::End end);
+  void GiveUp(Request& request, load_balancing::AttemptFeedback end);
   void RefuseBody(Request& request);  // longer than its configuration allows
   void Begin(RequestId id);
   void Dispatch(Request& request);
@@ -175,8 +175,8 @@
     return MaySendNow() && (!knowledge_.config_is_current || knowledge_.config_is_current());
   }
   void TakeIn(RequestId id, TimePoint arrived);
-  static registry::Time RegistryNow() { return std::chrono::steady_clock::now(); }
-  void EndAttempt(Request& request, const trying::Ending& ending, const http::Message* answer);
+  static registry_replication::Time RegistryNow() { return std::chrono::steady_clock::now(); }
+  void EndAttempt(Request& request, const retry::AttemptOutcome& ending, const http::Message* answer);
   void Conclude(Request& request, Duration retry_after, int status);
   Duration ComeBack(const Request& request);
   void Forget(Request& request);
@@ -197,7 +197,7 @@
   net::Upstream upstream_;
   net::Uploads uploads_;
   Leases leases_;
-  counting::Pressure pressure_;
+  quota::PriorityThrottle pressure_;
   std::shared_ptr<const policy::Policy> policy_;
   std::unordered_map<std::string, std::shared_ptr<const Plan>> plans_;  // of the policy in force, by tenant
   std::vector<int> ranks_;  // priorities that routes of the policy in force have, the highest first
@@ -216,7 +216,7 @@
   std::set<std::pair<TimePoint, RequestId>> deadlines_;
   std::set<std::pair<TimePoint, std::uint64_t>> count_timers_;  // by token
   net::TimerWatcher timer_, count_timer_;
-  std::vector<CountAnswered> counted_;
+  std::vector<CounterReply> counted_;
   std::deque<Input> inputs_queue_;
   bool running_ = false;
   int gateways_ = 1;
--- a/src/system/message.hpp
+++ b/src/system/message.hpp
@@ -30,7 +30,7 @@
   std::int64_t asked_us = 0;
   std::int64_t told_us = -1;  // below 0: a question
 };
-struct Hosts {  // entries of the directory (directory/codec.hpp) that have changed
+struct Hosts {  // entries of the directory (service_registry/codec.hpp) that have changed
   std::string batch;
 };
 struct Refreshed {  // hosts that have beaten and said nothing new: id, sequence
@@ -44,7 +44,8 @@
 };
 struct HostsReplicated {  // versions that know no votes send the number alone
   std::uint64_t number = 0;
-  std::uint64_t incarnation = 0, epoch = 0, complete_epoch = 0;  // registry::Standing of the sender
+  std::uint64_t incarnation = 0, epoch = 0,
+                complete_epoch = 0;  // registry_replication::MemberStatus of the sender
   bool votes = false;
 };
 struct Put {  // an operator's configuration, checked; owed: a Done
@@ -92,7 +93,7 @@
   std::uint64_t number = 0;
 };
 
-struct FoundingBytes {  // of the first start (agreement/founding.hpp)
+struct FoundingBytes {  // of the first start (agreement/bootstrapper.hpp)
   std::string bytes;
 };
 
@@ -128,7 +129,8 @@
 };
 struct RegistryAnswer {
   std::int64_t asked_us = 0;
-  std::uint64_t incarnation = 0, epoch = 0, complete_epoch = 0;  // registry::Standing of the sender
+  std::uint64_t incarnation = 0, epoch = 0,
+                complete_epoch = 0;  // registry_replication::MemberStatus of the sender
   bool votes = false;
   std::uint64_t watermark = 0;
 };
--- a/src/system/node.cpp
+++ b/src/system/node.cpp
@@ -37,17 +37,17 @@
       fleet_link_(loop, link_descriptors_, *this),
       fleet_timer_(loop,
                    [this](int) {
-                     fleet::Out out;
+                     fleet::ProtocolOutput out;
                      fleet_->Tick(Now(), out);
                      ExecuteFleet(out);
                    }),
       link_(loop, link_descriptors_, *this, LinkOptions(settings_), seed),
       watermark_(std::max(settings_.registry_period, settings_.heartbeat)),
-      registry_lease_(registry::RegistryLease::OptionsFor(settings_.bounds.drain)),
+      registry_lease_(registry_replication::RegistryLease::OptionsFor(settings_.bounds.drain)),
       feed_(FeedOptions(settings_)),
       front_(
           loop, settings_, front_descriptors_, rng_(),
-          [this](const std::string& tenant, const AddCount& call) { AddToCount(tenant, call); },
+          [this](const std::string& tenant, const AddToCounter& call) { AddToCount(tenant, call); },
           [this](const std::string& tenant) { return ClockOffset(tenant); },
           {&registry_lease_, [this] { return !resumed_at_; }}),
       control_(
@@ -108,19 +108,19 @@
 
 // Also anew, when the core could be opened late: the same name in a later life.
 void Node::StartFleet() {
-  fleet::Options options;
+  fleet::MembershipOptions options;
   options.fleet = kFleetName;
   options.name = settings_.node_name;
   options.boot = BootNow();
   options.address = fleet_address_;
-  options.about = (core_ ? (in_memory_ ? kInMemory : kOnDisk) + Hex(disk_) : "-") + " " + settings_.zone;
-  options.about.resize(std::min(options.about.size(), fleet::kMostAbout));
-  options.probe = kProbe;
-  options.seeks_seeds = true;
+  options.metadata = (core_ ? (in_memory_ ? kInMemory : kOnDisk) + Hex(disk_) : "-") + " " + settings_.zone;
+  options.metadata.resize(std::min(options.metadata.size(), fleet::kMaxMetadataBytes));
+  options.probe_period = kProbe;
+  options.seek_missing_seeds = true;
   options.seeds = FleetSeeds();
-  fleet_ = std::make_unique<fleet::Machine>(options, StableHash(options.name, options.boot));
+  fleet_ = std::make_unique<fleet::MembershipProtocol>(options, StableHash(options.name, options.boot));
   seen_view_ = 0;
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   fleet_->Start(Now(), out);
   ExecuteFleet(out);
 }
@@ -176,7 +176,7 @@
   link_.KeepHouse();
   fleet_link_.Reap();
   if (core_) {
-    agreement::Out out;
+    agreement::CoreOutput out;
     core_->Tick(now, out);
     ExecuteCore(std::move(out));
   }
@@ -202,23 +202,24 @@
   if (ticks_ % 4 == 0) LookAtRedundancy();
   if (had_majority_ && ticks_ % 4 == 0) LookWhoIsAway();
   // Silence is said by who hears the core, and not before it has listened for long enough.
-  const auto silent = std::chrono::duration_cast<directory::Duration>(settings_.heartbeat * kSilentBeats);
+  const auto silent =
+      std::chrono::duration_cast<service_registry::Duration>(settings_.heartbeat * kSilentBeats);
   if (had_majority_ && ticks_ % 4 == 0 && now - started_at_ > silent) {
-    directory_.Silence(now, silent);
+    directory_.MarkUnresponsive(now, silent);
   }
   core_calls_.Tick(now);
   TickCoordination();
   TickReplications();
-  std::vector<CountName> unanswered;
+  std::vector<CounterName> unanswered;
   for (auto it = addings_.begin(); it != addings_.end();) {
     const bool late = now >= it->second.ends;
     if (late) unanswered.push_back(it->second.name);
     it = late ? addings_.erase(it) : std::next(it);
   }
-  for (const CountName name : unanswered) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
+  for (const CounterName name : unanswered) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
   if (ticks_ % kSecondTicks == 0) {
-    if (const auto proved = registry_lease_.proved_at()) directory_.ConfirmLeaves(*proved);
-    directory_.Forget(now);
+    if (const auto proved = registry_lease_.proved_at()) directory_.ConfirmDepartures(*proved);
+    directory_.PurgeExpired(now);
     KeepHosts();
     if (open_again_) TryOpenCore();
     if (had_majority_ && ticks_ % (2 * kSecondTicks) == 0) Broadcast(Digest{HostsDigest()});
@@ -268,7 +269,7 @@
 }
 
 void Node::End() {
-  fleet::Out out;
+  fleet::ProtocolOutput out;
   fleet_->Leave(Now(), out);
   ExecuteFleet(out);
   Say(front_.owes_anything() ? Event::kDrainCutShort : Event::kDrained, settings_.node_name);
--- a/src/system/node.hpp
+++ b/src/system/node.hpp
@@ -14,16 +14,16 @@
 #include <vector>
 
 #include "agreement/core.hpp"
-#include "counting/held_counts.hpp"
-#include "directory/by_service.hpp"
-#include "directory/command.hpp"
-#include "directory/directory.hpp"
-#include "directory/heartbeat_targets.hpp"
-#include "fleet/machine.hpp"
+#include "fleet/membership_protocol.hpp"
 #include "net/fleet_link.hpp"
-#include "registry/lease.hpp"
-#include "registry/replica.hpp"
-#include "registry/watermark.hpp"
+#include "quota/quota_counters.hpp"
+#include "registry_replication/lease.hpp"
+#include "registry_replication/replica.hpp"
+#include "registry_replication/watermark.hpp"
+#include "service_registry/command.hpp"
+#include "service_registry/heartbeat_targets.hpp"
+#include "service_registry/hosts_by_service.hpp"
+#include "service_registry/service_registry.hpp"
 #include "settings/settings.hpp"
 #include "storage/storage.hpp"
 #include "system/call_door.hpp"
@@ -67,14 +67,14 @@
     Steady ends, again;
     std::string batch;
     std::vector<std::uint64_t> streams;  // that it went out on
-    registry::HolderVotes votes;
+    registry_replication::LeaveVotes votes;
   };
   // An answer that is owed once the disk holds a leave; stream 0: to a replication of this process.
   struct OwedVote {
     std::uint64_t stream = 0, number = 0;
   };
   struct Adding {
-    CountName name;
+    CounterName name;
     std::uint64_t stream = 0;
     Steady ends;
   };
@@ -95,11 +95,11 @@
   void OnDatagram(std::string_view bytes) override;
   std::string OnExchange(std::string_view bytes) override;
   void OnExchangeEnd(const Address& with, std::string_view bytes) override;
-  void ExecuteFleet(const fleet::Out& out);
+  void ExecuteFleet(const fleet::ProtocolOutput& out);
   void OnView();
-  static bool IsOfCore(const fleet::Record& record);
-  static std::string ZoneOf(const fleet::Record& record);
-  agreement::Place PlaceOf(const fleet::Record& record) const;
+  static bool IsOfCore(const fleet::MemberRecord& record);
+  static std::string ZoneOf(const fleet::MemberRecord& record);
+  agreement::Location PlaceOf(const fleet::MemberRecord& record) const;
   int AtLeast(int gateways);
   void ConsiderCore();
 
@@ -132,10 +132,10 @@
 
   // Calls from outside.
   void OnCall(CallDoor::Call call);
-  void Execute(RequestId id, const directory::Beat& beat);
-  void Execute(RequestId id, const directory::Leave& leave);
-  void Execute(RequestId id, directory::PutConfig& put);
-  void Execute(RequestId id, const directory::ReadConfig& read);
+  void Execute(RequestId id, const service_registry::Heartbeat& beat);
+  void Execute(RequestId id, const service_registry::Deregistration& leave);
+  void Execute(RequestId id, service_registry::ReplaceConfig& put);
+  void Execute(RequestId id, const service_registry::ReadConfig& read);
   void Execute(RequestId id, const ReportCore& report);  // and the rest: report.cpp
   void Execute(RequestId id, const ReportHosts& report);
   void Execute(RequestId id, const ReportTenant& report);
@@ -146,7 +146,7 @@
   void Execute(RequestId id, const ForgetMember& order);
   void ReplyReport(RequestId id, const std::string& json);
   void ReplyBeat(RequestId id);
-  void ReplyRefreshed(RequestId id, const directory::Beat& beat);
+  void ReplyRefreshed(RequestId id, const service_registry::Heartbeat& beat);
   void UpdateHeartbeatTargets();
   void ReplyJson(RequestId id, int status, const std::string& body);
   // Where the answer to a call goes that another gateway has passed on.
@@ -183,7 +183,7 @@
   void KeepLeaves();
   void OnLeavesKept(bool ok);
   void AnswerVotes(const std::vector<OwedVote>& owed);
-  std::string EncodeLeaves(const registry::ReplicaRecord& record) const;
+  std::string EncodeLeaves(const registry_replication::ReplicaRecord& record) const;
   void RestoreLeaves(const std::string& bytes);
   void TickLease();
   void OnProof();
@@ -191,19 +191,19 @@
   void OnWatermark();
   void ConfirmHosts();
   void TellCompleteMembers();
-  registry::Roster RegistryRoster() const;
-  registry::Standing OwnStanding() const;
+  registry_replication::Membership RegistryRoster() const;
+  registry_replication::MemberStatus OwnStanding() const;
 
   // Core.
   void OpenCore();
   std::uint64_t NewLifeInMemory();
   void TryOpenCore();  // a disk in trouble leaves a gateway without a core, for now
   void StartFleet();
-  void ExecuteCore(agreement::Out out);
-  void AnswerDone(agreement::Done& done);
-  static std::string ConflictText(std::uint64_t sent, const agreement::Done& done);
-  std::unique_ptr<FoundingHost> MakeFounding(agreement::founding::State state, bool durable);
-  void OpenFounding(std::optional<agreement::founding::State> kept);
+  void ExecuteCore(agreement::CoreOutput out);
+  void AnswerDone(agreement::CallResult& done);
+  static std::string ConflictText(std::uint64_t sent, const agreement::CallResult& done);
+  std::unique_ptr<FoundingHost> MakeFounding(agreement::bootstrap::BootstrapState state, bool durable);
+  void OpenFounding(std::optional<agreement::bootstrap::BootstrapState> kept);
   bool KeepFounding(std::string state) override;
   void OnFounded(std::vector<agreement::Member> members) override;
   void OnStorage();
@@ -225,7 +225,7 @@
   void AnnounceConfig();  // to all that want news, as AnnouncePace says
   void TellConfig(Link::Stream& stream);
   void ReadForFeed();
-  void OnFeedRead(const agreement::Done& done);
+  void OnFeedRead(const agreement::CallResult& done);
   void FetchConfig();
   std::vector<ConfigFeed::Candidate> FeedCandidates();
   void SetInForce(ConfigId id, std::string text);
@@ -245,7 +245,7 @@
   void Handle(Link::Stream& stream, CoordinationLeader& message);
   void Handle(Link::Stream& stream, CoordinationForget& message);
   void SendToReplica(const agreement::Member& to, std::string bytes) override;
-  bool WriteLog(coordination::Records records) override;
+  bool WriteLog(coordination::RecordBatch records) override;
   void OnCoordinationReply(std::uint64_t number, coordination::Reply reply) override;
   void OnCoordinationLeader(std::uint64_t term, const std::string& name) override;
   std::vector<CoordinationCalls::Candidate> ReachedMembers() override;
@@ -254,9 +254,9 @@
 
   // Count.
   const CoreMember* Holder(const std::string& tenant) const;
-  void AddToCount(const std::string& tenant, const AddCount& call);
+  void AddToCount(const std::string& tenant, const AddToCounter& call);
   Duration ClockOffset(const std::string& tenant) const;
-  std::optional<double> AddHere(const std::string& tenant, const std::string& gateway, CountName name,
+  std::optional<double> AddHere(const std::string& tenant, const std::string& gateway, CounterName name,
                                 Duration lifetime, double amount);
   void LookWhoIsAway();
   static bool MayBeAtWork(const fleet::Member& member);
@@ -297,7 +297,7 @@
   bool gathered_ = false;
   bool keeping_hosts_ = false;
 
-  std::unique_ptr<fleet::Machine> fleet_;
+  std::unique_ptr<fleet::MembershipProtocol> fleet_;
   net::FleetLink fleet_link_;
   net::TimerWatcher fleet_timer_;
   std::uint64_t seen_view_ = 0;
@@ -308,21 +308,21 @@
   std::uint64_t epoch_ = 0;
   std::vector<CoreMember> members_;  // of the core, in `epoch_`
 
-  directory::Directory directory_;
-  directory::ByService by_service_;
-  directory::HeartbeatTargets heartbeat_targets_;
+  service_registry::ServiceRegistry directory_;
+  service_registry::HostsByService by_service_;
+  service_registry::HeartbeatTargets heartbeat_targets_;
   std::uint64_t told_hosts_ = 0;  // of the directory's journal
   std::vector<std::pair<std::string, std::uint64_t>> refreshed_;
   std::vector<RequestId> owed_beats_;  // answered with the next news
 
   PauseWatch pause_watch_{Now()};
   PauseWatch call_pause_watch_{Now(), kCallPause, kCallPauseDrained};  // of applications' calls
-  registry::Watermark watermark_;
-  registry::RegistryLease registry_lease_;
-  std::optional<registry::RegistryReplica> registry_replica_;  // of a process with a core
-  std::vector<OwedVote> owed_votes_, votes_being_kept_;        // the latter: with the write under way
-  std::optional<registry::ReplicaRecord> record_being_kept_;   // of the write under way
-  bool registry_proved_ = false;                               // as the log says
+  registry_replication::Watermark watermark_;
+  registry_replication::RegistryLease registry_lease_;
+  std::optional<registry_replication::RegistryReplica> registry_replica_;  // of a process with a core
+  std::vector<OwedVote> owed_votes_, votes_being_kept_;  // the latter: with the write under way
+  std::optional<registry_replication::ReplicaRecord> record_being_kept_;  // of the write under way
+  bool registry_proved_ = false;                                          // as the log says
   std::uint64_t leaves_acknowledged_ = 0, leaves_not_acknowledged_ = 0;
 
   std::optional<CoordinationHost> coordination_;  // of a process with a core
@@ -333,7 +333,7 @@
   std::unordered_map<std::uint64_t, Replication> replications_;
   std::unordered_map<std::uint64_t, Adding> addings_;
   std::uint64_t next_number_ = rng_();  // no two processes begin alike
-  counting::HeldCounts counts_{settings_.bounds.quota_slack};
+  quota::QuotaCounters counts_{settings_.bounds.quota_slack};
 
   // Of the latest order here, until it is refused or in force.
   std::shared_ptr<const policy::Policy> checked_;
--- a/src/system/node_coordination.cpp
+++ b/src/system/node_coordination.cpp
@@ -13,14 +13,14 @@
       std::chrono::duration_cast<coordination::LoggedTime>(settings_.bounds.history * kHistoryFactor);
   CoordinationHost::Owner& owner = *this;
   coordination_.emplace(loop_, owner, core_->self(), std::move(from_disk), options, rng_());
-  coordination_->SetRoster(core_->roster());
+  coordination_->SetRoster(core_->membership());
 }
 
 // Throws CallError, which counts as an end of the call.
 std::optional<coordination::Call> Node::ReadCoordinationCall(const CallDoor::Call& call) {
   try {
     return DecodeCoordinationCall(call.method, call.path, call.body);
-  } catch (const directory::CallError& error) {
+  } catch (const service_registry::CallError& error) {
     ++coordination_ends_.answered[error.status];
     throw;
   }
@@ -89,7 +89,7 @@
   if (stream != nullptr) stream->Send(Encode(CoordinationBytes{std::move(bytes)}));
 }
 
-bool Node::WriteLog(coordination::Records records) {
+bool Node::WriteLog(coordination::RecordBatch records) {
   if (!life_kept_) records.emplace_back("life", life_);
   return storage_->Write(kLogWrite, std::move(records));
 }
--- a/src/system/node_messages.cpp
+++ b/src/system/node_messages.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "agreement/codec.hpp"
-#include "directory/codec.hpp"
+#include "service_registry/codec.hpp"
 #include "system/node.hpp"
 #include "system/node_limits.hpp"
 
@@ -49,7 +49,7 @@
     AskClock(stream);
     if (stream.counted) feed_.OnMember(Now());
     FetchConfig();
-    if (directory_.size() > 0) stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+    if (directory_.size() > 0) stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
     return;
   }
   if (!core_) {  // a seed that isn't of the core knows who is
@@ -59,7 +59,7 @@
   stream.subscribed = true;
   // Whoever fetches is told the members once its fetch was confirmed.
   if (epoch_ > 0 && !stream.fetches) stream.Send(Encode(MembersNow()));
-  if (directory_.size() > 0) stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+  if (directory_.size() > 0) stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
   if (had_majority_) TellConfig(stream);
   if (coordination_ && coordination_->leads())
     stream.Send(
@@ -70,13 +70,13 @@
   source_.OnDown(stream.number);
   if (stream.dialled()) feed_.OnDown(Now(), stream.name);
   if (stream.dialled()) Say(Event::kLinkDown, stream.to().ToText() + " " + stream.name);
-  std::vector<CountName> lost;
+  std::vector<CounterName> lost;
   for (auto it = addings_.begin(); it != addings_.end();) {
     const bool of_it = it->second.stream == stream.number;
     if (of_it) lost.push_back(it->second.name);
     it = of_it ? addings_.erase(it) : std::next(it);
   }
-  for (const CountName name : lost) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
+  for (const CounterName name : lost) front_.OnCount({name, Outcome::kTimeout, 0, kAddEnds});
   core_calls_.OnStreamDown(Now(), stream.number);
   coordination_calls_.OnStreamDown(Now(), stream.number);
   if (coordination_) coordination_->OnStreamDown(stream.number);
@@ -126,7 +126,7 @@
   if (merged == Merged::kUnreadable) return stream.Close();
   RelayLeaves(before);
   told_hosts_ = directory_.version();
-  if (by_service_.Fold(directory_)) front_.SetHosts(by_service_);
+  if (by_service_.Update(directory_)) front_.SetHosts(by_service_);
 }
 
 void Node::Handle(Link::Stream& stream, Refreshed& message) {
@@ -142,12 +142,12 @@
   stream.strayed = message.hosts == HostsDigest() ? 0 : stream.strayed + 1;
   if (stream.strayed < kMostStrayed) return;
   stream.strayed = 0;
-  stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+  stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
   stream.Send(Encode(AskHosts{}));
 }
 
 void Node::Handle(Link::Stream& stream, AskHosts&) {
-  stream.Send(Encode(Hosts{directory::Encode(directory_.All(), Now())}));
+  stream.Send(Encode(Hosts{service_registry::Encode(directory_.All(), Now())}));
 }
 
 Link::Stream* Node::NearCore() {
@@ -210,7 +210,7 @@
   const bool in_step =
       std::abs(message.clock_us - Microseconds(Now())) <= kMostAstray / std::chrono::microseconds(1);
   const auto total = !in_step ? std::nullopt
-                              : AddHere(message.tenant, stream.name, CountName{message.count},
+                              : AddHere(message.tenant, stream.name, CounterName{message.count},
                                         std::chrono::microseconds(message.lifetime_us), message.amount);
   stream.Send(Encode(Total{message.number, total.has_value(), total.value_or(0)}));
 }
@@ -229,7 +229,7 @@
   if (!core_) return;
   const auto decoded = agreement::DecodeMessage(message.bytes);
   if (!decoded) return Say(Event::kMessageRefused, "of the core");
-  agreement::Out out;
+  agreement::CoreOutput out;
   core_->OnMessage(Now(), *decoded, out);
   ExecuteCore(std::move(out));
 }
--- a/src/system/report.cpp
+++ b/src/system/report.cpp
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "directory/by_service.hpp"
 #include "events/events.hpp"
 #include "policy/policy.hpp"
+#include "service_registry/hosts_by_service.hpp"
 #include "system/command.hpp"
 #include "system/json.hpp"
 #include "system/node.hpp"
@@ -49,10 +49,10 @@
   return all;
 }
 
-std::string_view Word(const directory::Entry& entry) {
-  if (entry.gone()) return entry.left ? "left" : "gone";
-  if (entry.silent) return "silent";
-  return entry.state == directory::HostState::kDraining ? "draining" : "ready";
+std::string_view Word(const service_registry::HostEntry& entry) {
+  if (entry.removed()) return entry.deregistered ? "left" : "gone";
+  if (entry.unresponsive) return "silent";
+  return entry.state == service_registry::HostState::kDraining ? "draining" : "ready";
 }
 
 std::uint64_t ResidentBytes() {
@@ -66,8 +66,8 @@
 
 bool IsCaughtUp(const agreement::CoreStatus& status, const std::string& name, std::uint64_t disk) {
   return std::any_of(status.voters.begin(), status.voters.end(), [&](const auto& voter) {
-    return voter.member.life.node == name && voter.member.life.disk == disk && voter.caught_up &&
-           voter.answers;
+    return voter.member.incarnation.node == name && voter.member.incarnation.number == disk &&
+           voter.caught_up && voter.responsive;
   });
 }
 
@@ -117,7 +117,8 @@
   const coordination::Replica& replica = host->coordinator().replica();
   page.Gauge("coordination_leads", host->leads() ? 1 : 0, "Whether this member serves the calls.");
   page.Gauge("coordination_term", replica.term(), "Term of the log, as known here.");
-  page.Counter("coordination_elections_total", replica.elections(), "Elections that this member stood in.");
+  page.Counter("coordination_elections_total", replica.elections_started(),
+               "Elections that this member stood in.");
   page.Gauge("coordination_log_entries", replica.log_last() - replica.log_begin(),
              "Entries behind the snapshot.");
   page.Gauge("coordination_uncommitted", replica.log_last() - replica.applied(),
@@ -165,8 +166,8 @@
   // Of those that are caught up: how many more may be lost with a majority left. Below 0: there is none.
   told ? answer.Number("further_losses", status.further_losses) : answer.None("further_losses");
   if (told) {
-    answer.Number("zones_borne", status.spread.zones).Number("zones_wanted", status.wanted.zones);
-    answer.Number("regions_borne", status.spread.regions).Number("regions_wanted", status.wanted.regions);
+    answer.Number("zones_borne", status.tolerance.zones).Number("zones_wanted", status.wanted.zones);
+    answer.Number("regions_borne", status.tolerance.regions).Number("regions_wanted", status.wanted.regions);
   }
   told ? answer.Number("ballots_refused", static_cast<double>(core_->ballots_refused()))
        : answer.None("ballots_refused");
@@ -180,10 +181,10 @@
     each.Text("name", member.name).Text("life", LifeText(member.disk));
     each.Text("address", member.address.ToText());
     each.Text("state", here    ? "here"
-                       : known ? std::string(fleet::Word(seen->second.record.state))
+                       : known ? std::string(fleet::StateName(seen->second.record.state))
                                : "unknown");
     // Of a machine that is there with another disk: its life is no longer in the roster.
-    each.Flag("life_seen", here || (known && seen->second.record.about.find(":" + LifeText(member.disk)) !=
+    each.Flag("life_seen", here || (known && seen->second.record.metadata.find(":" + LifeText(member.disk)) !=
                                                  std::string::npos));
     each.Flag("linked", here || link_.To(member.address) != nullptr);
   }
@@ -191,39 +192,40 @@
 }
 
 void Node::Execute(RequestId id, const ForgetMember& order) {
-  using agreement::Forgetting;
+  using agreement::ForgetResult;
   const auto refuse = [&](int status, const std::string& why) {
     control_.Reply(id, status, order.name + ": " + why + "\n", "text/plain");
   };
   if (!core_member()) return refuse(503, "this gateway is no member of the core; ask one");
-  agreement::Out out;
-  const Forgetting verdict = core_->Forget(Now(), order.name, order.forced, out);
+  agreement::CoreOutput out;
+  const ForgetResult verdict = core_->Forget(Now(), order.name, order.forced, out);
   const std::string epoch = std::to_string(epoch_);
   ExecuteCore(std::move(out));
   switch (verdict) {
-    case Forgetting::kProposed:
+    case ForgetResult::kProposed:
       events::Say(events::Event::kForgetOrdered, order.name + (order.forced ? ", forced" : ""));
       return ReplyReport(id, "{\"proposed_in_epoch\":" + epoch + "}\n");
-    case Forgetting::kNoMember:
+    case ForgetResult::kNoMember:
       return refuse(404, "no member of that name in epoch " + epoch);
-    case Forgetting::kNoMajority:
+    case ForgetResult::kNoMajority:
       return refuse(503, "no majority here, or another successor is under way");
-    case Forgetting::kItself:
+    case ForgetResult::kItself:
       return refuse(503, "it is this gateway; another member has to be told");
-    case Forgetting::kAlive:
+    case ForgetResult::kAlive:
       return refuse(409, "it is alive; stop it first");
-    case Forgetting::kTooFew:
+    case ForgetResult::kTooFew:
       return refuse(409, "another member is away, or the rest would bear less than the settings say");
   }
 }
 
 // Host by host: a tree of the whole answer would take some 10 MB, which the process would keep.
 void Node::Execute(RequestId id, const ReportHosts&) {
-  std::vector<directory::Entry> entries = directory_.All();
-  std::sort(entries.begin(), entries.end(), [](const directory::Entry& a, const directory::Entry& b) {
-    return std::tie(a.service, a.id) < std::tie(b.service, b.id);
-  });
-  if (entries.size() > directory::kMostEntries) entries.resize(directory::kMostEntries);
+  std::vector<service_registry::HostEntry> entries = directory_.All();
+  std::sort(entries.begin(), entries.end(),
+            [](const service_registry::HostEntry& a, const service_registry::HostEntry& b) {
+              return std::tie(a.service, a.id) < std::tie(b.service, b.id);
+            });
+  if (entries.size() > service_registry::kMaxEntries) entries.resize(service_registry::kMaxEntries);
   const Steady now = Now();
   Document answer;
   answer.Number("count", static_cast<double>(entries.size()));
@@ -235,13 +237,14 @@
   text.resize(text.size() - kEnd.size());
   text.reserve(text.size() + entries.size() * kUsualHost);
   bool first = true;
-  for (const directory::Entry& entry : entries) {
+  for (const service_registry::HostEntry& entry : entries) {
     Document each;
     each.Text("id", entry.id).Text("service", entry.service).Text("address", entry.address);
     each.Text("zone", entry.zone).Text("state", std::string(Word(entry)));
-    each.Flag("draining", entry.draining).Flag("silent", entry.silent).Number("slots", entry.slots);
+    each.Flag("draining", entry.draining).Flag("silent", entry.unresponsive).Number("slots", entry.slots);
     each.Number("sequence", static_cast<double>(entry.sequence));
-    each.Number("heard_s_ago", entry.heard == directory::Time{} ? -1 : Seconds(now - entry.heard));
+    each.Number("heard_s_ago",
+                entry.last_heard == service_registry::Time{} ? -1 : Seconds(now - entry.last_heard));
     each.Number("warm_in_s", std::max(0.0, Seconds(entry.warm_at - now)));
     if (!std::exchange(first, false)) text += ',';
     text += each.Print();
@@ -265,11 +268,11 @@
   answer.Number("rate_per_s", tenant->rate_per_s).Number("burst_size", tenant->burst_size);
   const auto views = front_.LookAtTenants();
   const auto view = std::find_if(views.begin(), views.end(),
-                                 [&](const Leases::View& each) { return each.name == tenant->name; });
+                                 [&](const Leases::CustomerView& each) { return each.name == tenant->name; });
   answer.Flag("seen_here", view != views.end());  // else no request of it has come here of late
   if (view != views.end()) {
     Object here = answer.Inner("here");
-    here.Number("level", view->level).Number("held", view->held).Number("lease", view->lease);
+    here.Number("level", view->level).Number("held", view->leased).Number("lease", view->lease_size);
     here.Number("share", view->share).Number("window", static_cast<double>(view->window));
   }
   if (const CoreMember* holder = Holder(tenant->name)) {
@@ -287,19 +290,20 @@
   const Steady now = Now();
   Document answer;
   answer.Number("alive", static_cast<double>(fleet_->alive())).Flag("settled", fleet_->settled());
-  if (!fleet_->refused().empty()) answer.Text("refused", fleet_->refused());
+  if (!fleet_->rejection().empty()) answer.Text("refused", fleet_->rejection());
   cJSON* gateways = answer.List("gateways");
-  const auto add = [&](const fleet::Record& record, bool here, double since) {
+  const auto add = [&](const fleet::MemberRecord& record, bool here, double since) {
     Object each = AddTo(gateways);
-    each.Text("name", record.name).Text("state", std::string(fleet::Word(record.state)));
+    each.Text("name", record.name).Text("state", std::string(fleet::StateName(record.state)));
     each.Text("address", record.address.ToText());
     each.Flag("here", here).Flag("core", IsOfCore(record));
     each.Number("boot", static_cast<double>(record.boot)).Number("incarnation", record.incarnation);
     each.Number("since_s", since);
-    if (!record.by.empty()) each.Text("by", record.by);
+    if (!record.reported_by.empty()) each.Text("by", record.reported_by);
   };
   add(fleet_->self(), true, Seconds(now - started_at_));
-  for (const auto& [name, member] : fleet_->others()) add(member.record, false, Seconds(now - member.since));
+  for (const auto& [name, member] : fleet_->others())
+    add(member.record, false, Seconds(now - member.state_since));
   ReplyReport(id, answer.Print());
 }
 
@@ -346,7 +350,9 @@
   cJSON* voters = answer.List("voters");
   for (const agreement::Member& voter : replica.voters()) {
     Object each = AddTo(voters);
-    each.Text("name", voter.life.node).Text("life", LifeText(voter.life.disk)).Text("address", voter.address);
+    each.Text("name", voter.incarnation.node)
+        .Text("life", LifeText(voter.incarnation.number))
+        .Text("address", voter.address);
   }
   cJSON* locks = answer.List("locks");
   for (const auto& [lock, hold] : coordinator.state().holds()) {
@@ -381,7 +387,7 @@
   page.Counter("leaves_acknowledged_total", leaves_acknowledged_, "Leaves of hosts that a majority holds.");
   page.Counter("leaves_not_acknowledged_total", leaves_not_acknowledged_,
                "Leaves that no majority held in time; the hosts go on to another gateway.");
-  if (const auto list_age = registry_lease_.Age(Now()))
+  if (const auto list_age = registry_lease_.ProofAge(Now()))
     page.Gauge("registry_proof_age_seconds", WholeSeconds(*list_age),
                "Since the question by which a majority last proved the list of hosts.");
   page.Counter("accepted_total", door.accepted, "Connections taken from clients.");
