--- a/src/agreement/bootstrapper.hpp
+++ b/src/agreement/bootstrapper.hpp
@@ -3,8 +3,7 @@
 //
 // Why no two cores can start:
 // (1) All processes of a first start have the same seeds, and an acceptor answers only messages that carry
-// its
-//     own acceptor set.
+//     its own acceptor set.
 // (2) A list is chosen once more than half of the seeds have accepted it under one ballot.
 // (3) A proposer learns from more than half of the seeds what they have accepted before it proposes, and
 //     proposes the list of the highest ballot; these seeds have promised to accept nothing older. Any two
@@ -28,7 +27,7 @@
 
 namespace curlewdoor::agreement::bootstrap {
 
-/// Timeouts and limits of a Bootstrapper.
+// Timeouts and limits of a Bootstrapper.
 struct BootstrapOptions {
   std::size_t min_members = 1;                                  // should be 2f+1
   Duration view_settle_time = std::chrono::milliseconds(1200);  // the view must be unchanged for so long ...
@@ -38,7 +37,7 @@
   Duration resend_interval = std::chrono::milliseconds(150);    // to seeds without a reply
   Duration backoff = std::chrono::milliseconds(150);  // after a refusal; grows up to kMaxBackoffSteps times
   Duration write_retry_interval = std::chrono::milliseconds(200);  // after a failed write
-  /// Deliberate bugs that the tests must detect.
+  // Deliberate bugs that the tests must detect.
   enum class Fault : std::uint8_t {
     kNone,
     kMajorityOfVisible,  // counts only the seeds that the view shows
@@ -48,23 +47,23 @@
   } fault = Fault::kNone;
 };
 
-/// A request to the seed of this address.
+// A request to the seed of this address.
 struct SeedRequest {
   std::uint32_t seed = 0;
   BootstrapMessage message;
 };
-/// A reply, sent over the connection that its request came from.
+// A reply, sent over the connection that its request came from.
 struct PeerReply {
   std::uint64_t peer = 0;
   BootstrapMessage message;
 };
-/// The chosen list, for one of the members.
+// The chosen list, for one of the members.
 struct MemberAnnouncement {
   Member member;
   BootstrapMessage message;
 };
 
-/// What the caller must carry out after an input. The bootstrapper only appends.
+// What the caller must carry out after an input. The bootstrapper only appends.
 struct BootstrapOutput {
   std::vector<SeedRequest> requests;
   std::vector<PeerReply> replies;
@@ -73,26 +72,26 @@
   std::optional<std::vector<Member>> chosen_members;  // of epoch 1: for Core::BeginFirstEpoch()
 };
 
-/// One process's part in a bootstrap: acceptor if it is a seed, proposer if it may be a member.
+// One process's part in a bootstrap: acceptor if it is a seed, proposer if it may be a member.
 class Bootstrapper {
  public:
-  /// `ip` is the address of this process; `state` is what its disk holds or, at the first start, the acceptor
-  /// set alone. `durable`: replies of the acceptor wait for the disk. `seed` must be random and differ
-  /// between processes.
+  // `ip` is the address of this process; `state` is what its disk holds or, at the first start, the acceptor
+  // set alone. `durable`: replies of the acceptor wait for the disk. `seed` must be random and differ
+  // between processes.
   Bootstrapper(std::uint32_t ip, BootstrapState state, bool durable, BootstrapOptions options,
                std::uint64_t seed);
 
-  /// This process may be a member: it proposes from now on, until it knows of an epoch.
+  // This process may be a member: it proposes from now on, until it knows of an epoch.
   void SetCandidate(Time now, Member self);
-  /// All machines in the view that may be members; this one may be among them.
+  // All machines in the view that may be members; this one may be among them.
   void OnView(Time now, const std::vector<ObservedMachine>& view);
-  /// `peer` identifies the connection of the message, and is not kSelf.
+  // `peer` identifies the connection of the message, and is not kSelf.
   void OnMessage(Time now, std::uint64_t peer, const BootstrapMessage& message, BootstrapOutput& out);
-  /// The disk has synced the state, or has failed the write; a failed write is retried.
+  // The disk has synced the state, or has failed the write; a failed write is retried.
   void OnWritten(Time now, bool ok, BootstrapOutput& out);
-  /// Call about every 50 ms.
+  // Call about every 50 ms.
   void Tick(Time now, BootstrapOutput& out);
-  /// The core has an epoch: stops proposing. The acceptor still answers.
+  // The core has an epoch: stops proposing. The acceptor still answers.
   void StopProposing();
 
   bool proposes() const { return proposes_; }
--- a/src/agreement/core.hpp
+++ b/src/agreement/core.hpp
@@ -45,7 +45,7 @@
 using Time = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-/// Timeouts, limits and modes of a Core.
+// Timeouts, limits and modes of a Core.
 struct CoreOptions {
   Duration call_timeout = std::chrono::milliseconds(800);     // of a Put or Get
   Duration resend_interval = std::chrono::milliseconds(150);  // for requests without a reply
@@ -93,14 +93,14 @@
   } fault = Fault::kNone;
 };
 
-/// A machine that is eligible as a voter (it has a disk), as shown by the fleet view.
+// A machine that is eligible as a voter (it has a disk), as shown by the fleet view.
 struct ObservedMachine {
   Member member;
   bool alive = false;
   Location location{};
 };
 
-/// How a Put or Get ended.
+// How a Put or Get ended.
 enum class CallOutcome : std::uint8_t {
   kInForce,     // Put: this content is in force. Get: `value` is the newest
   kSuperseded,  // Put: confirmed, but `value`, with a higher version, is in force; this put changes nothing
@@ -111,7 +111,7 @@
   kFailed,      // nothing was done: too many calls at once, or the value is too large
 };
 
-/// The result of one Put or Get.
+// The result of one Put or Get.
 struct CallResult {
   std::uint64_t call = 0;
   CallOutcome outcome = CallOutcome::kFailed;
@@ -119,7 +119,7 @@
   Digest digest;      // of its text
 };
 
-/// The result of an operator's request to remove a member.
+// The result of an operator's request to remove a member.
 enum class ForgetResult : std::uint8_t {
   kProposed,    // a successor without it is being proposed, for forget_timeout at most
   kNoMember,    // no member has that name
@@ -129,7 +129,7 @@
   kTooFew       // not forced: another member is unresponsive, or too few would remain
 };
 
-/// The redundancy of the core, as reported to operators.
+// The redundancy of the core, as reported to operators.
 struct CoreStatus {
   struct Voter {
     Member member;
@@ -144,19 +144,19 @@
   FaultTolerance wanted{};
 };
 
-/// A message and its receiver.
+// A message and its receiver.
 struct OutgoingMessage {
   Member to;
   CoreMessage message;
 };
 
-/// Records to be stored and synced atomically.
+// Records to be stored and synced atomically.
 struct StorageWrite {
   std::uint64_t id = 0;
   std::vector<std::pair<std::string, std::string>> records;  // key, bytes
 };
 
-/// What the caller must carry out after an input. The core only appends, and only sets flags.
+// What the caller must carry out after an input. The core only appends, and only sets flags.
 struct CoreOutput {
   std::vector<OutgoingMessage> sends;
   std::vector<StorageWrite> writes;  // one at a time: the next one comes after OnWritten()
@@ -165,59 +165,59 @@
   std::vector<std::string> log_messages;
 };
 
-/// One process's part in the agreement: proposer, acceptor and learner.
+// One process's part in the agreement: proposer, acceptor and learner.
 class Core {
  public:
-  /// `from_disk` is what the disk of `self.incarnation` held (DecodeState), empty for a new disk. `seed` must
-  /// be random and differ between processes.
+  // `from_disk` is what the disk of `self.incarnation` held (DecodeState), empty for a new disk. `seed` must
+  // be random and differ between processes.
   Core(Member self, bool bootstrap, CoreState from_disk, CoreOptions options, std::uint64_t seed);
 
-  /// All eligible machines in the current view; this one may be among them.
+  // All eligible machines in the current view; this one may be among them.
   void OnView(Time now, const std::vector<ObservedMachine>& view, CoreOutput& out);
-  /// Whether the view shows more than half of the seeds. All processes have the same seeds at the first
-  /// start, so at most one side of a partition sees a majority of them, and only that side starts a core
-  /// while there may be a partition.
+  // Whether the view shows more than half of the seeds. All processes have the same seeds at the first
+  // start, so at most one side of a partition sees a majority of them, and only that side starts a core
+  // while there may be a partition.
   void OnSeedMajorityVisible(bool seen) { seed_majority_visible_ = seen; }
-  /// Names the members of `epoch` that have synced all other state that is carried from epoch to epoch (the
-  /// service registry). Ignored if `epoch` is not the current one.
+  // Names the members of `epoch` that have synced all other state that is carried from epoch to epoch (the
+  // service registry). Ignored if `epoch` is not the current one.
   void SetCompleteMembers(std::uint64_t epoch, std::vector<Incarnation> members);
-  /// Starts epoch 1 with these voters, which were decided outside and are the same at all processes. Ignored
-  /// if an epoch is already known.
+  // Starts epoch 1 with these voters, which were decided outside and are the same at all processes. Ignored
+  // if an epoch is already known.
   void BeginFirstEpoch(Time now, std::vector<Member> members, CoreOutput& out);
   void OnMessage(Time now, const CoreMessage& message, CoreOutput& out);
-  /// The disk has synced this write, or has failed it; a failed write is retried.
+  // The disk has synced this write, or has failed it; a failed write is retried.
   void OnWritten(Time now, std::uint64_t write, bool ok, CoreOutput& out);
-  /// Call about every 50 ms.
+  // Call about every 50 ms.
   void Tick(Time now, CoreOutput& out);
 
-  /// Put and Get each end in one CallResult with this call number, immediately or within call_timeout (from
-  /// Tick). At most kMaxCalls may be in progress.
+  // Put and Get each end in one CallResult with this call number, immediately or within call_timeout (from
+  // Tick). At most kMaxCalls may be in progress.
   static constexpr std::size_t kMaxCalls = 64;
   void Put(Time now, std::uint64_t call, ConfigValue value, CoreOutput& out);
   void Get(Time now, std::uint64_t call, CoreOutput& out);
 
-  /// An operator states that the member of this name is permanently lost: proposes a successor without it and
-  /// without a replacement. As for every successor, a majority of the current voters must accept it, whatever
-  /// `forced` says; `forced` only allows fewer than `min_members` voters, or another unresponsive one.
+  // An operator states that the member of this name is permanently lost: proposes a successor without it and
+  // without a replacement. As for every successor, a majority of the current voters must accept it, whatever
+  // `forced` says; `forced` only allows fewer than `min_members` voters, or another unresponsive one.
   ForgetResult Forget(Time now, const std::string& node, bool forced, CoreOutput& out);
 
   const Membership& membership() const { return state_.membership; }  // the newest known
-  /// The highest record known to be chosen; never goes back.
+  // The highest record known to be chosen; never goes back.
   const ConfigValue& committed() const { return committed_->value; }
   const Record& committed_record() const { return *committed_; }
   const Stamp& committed_stamp() const { return committed_stamp_; }
   bool member() const { return MemberIndex(self_.incarnation) >= 0; }  // a voter of the current epoch
   bool learned() const { return learned_; }  // committed() was confirmed by a majority of this epoch
-  /// A majority of the voters, including this one, has replied to a ping within response_window. False on
-  /// processes that are not members.
+  // A majority of the voters, including this one, has replied to a ping within response_window. False on
+  // processes that are not members.
   bool majority(Time now) const;
   const Member& self() const { return self_; }
   bool sealed() const { return state_.accepted.has_value(); }
-  /// A leaving member may stop: every other responsive voter has the newest chosen record on disk, and enough
-  /// of them do for the remaining voters to tolerate what the core tolerates.
+  // A leaving member may stop: every other responsive voter has the newest chosen record on disk, and enough
+  // of them do for the remaining voters to tolerate what the core tolerates.
   bool HandedOver(Time now) const;
-  /// This member is going to stop, permanently or not. It votes until the others have almost all that it
-  /// holds, and then takes part in no further ballots, so that HandedOver() soon holds.
+  // This member is going to stop, permanently or not. It votes until the others have almost all that it
+  // holds, and then takes part in no further ballots, so that HandedOver() soon holds.
   void Leave() { leaving_ = true; }
   CoreStatus Status(Time now) const;
   std::uint64_t ballots_refused() const { return ballots_refused_; }  // own ballots, for a competing one
--- a/src/agreement/message.hpp
+++ b/src/agreement/message.hpp
@@ -19,22 +19,22 @@
 constexpr std::size_t kMaxNameBytes = 255;       // of a node's name and of an address
 constexpr std::size_t kMaxOutcomesPerBallot = 64;
 
-/// The identity of a member: the name of its machine, and a random number drawn when its disk was empty. A
-/// machine with a wiped disk is another incarnation.
+// The identity of a member: the name of its machine, and a random number drawn when its disk was empty. A
+// machine with a wiped disk is another incarnation.
 struct Incarnation {
   std::string node;
   std::uint64_t number = 0;
   auto operator<=>(const Incarnation&) const = default;
 };
 
-/// An incarnation and where it is reached.
+// An incarnation and where it is reached.
 struct Member {
   Incarnation incarnation;
   std::string address;  // "ip:port"; only compared here
   bool operator==(const Member&) const = default;
 };
 
-/// The voters of an epoch.
+// The voters of an epoch.
 struct Membership {
   std::uint64_t epoch = 0;  // 0: none yet
   std::vector<Member> members;
@@ -42,15 +42,15 @@
   bool operator==(const Membership&) const = default;
 };
 
-/// Identifies one attempt at choosing a successor epoch or a record. The tag is random, so no two attempts
-/// share a ballot.
+// Identifies one attempt at choosing a successor epoch or a record. The tag is random, so no two attempts
+// share a ballot.
 struct Ballot {
   std::uint64_t round = 0, tag = 0;
   auto operator<=>(const Ballot&) const = default;
 };
 
-/// The number of a new incarnation without a disk: taken from the clock, but above every known number of this
-/// node, because clocks may be set back.
+// The number of a new incarnation without a disk: taken from the clock, but above every known number of this
+// node, because clocks may be set back.
 inline std::uint64_t NextIncarnationNumber(std::uint64_t by_clock, const std::string& node,
                                            const std::vector<Incarnation>& known) {
   std::uint64_t number = by_clock;
@@ -59,8 +59,8 @@
   return number;
 }
 
-/// Identifies a record by the epoch and the ballot under which it was proposed. Two records with the same
-/// stamp are equal. Epoch 0: a value from the format without ballots, ordered by LegacyStamp.
+// Identifies a record by the epoch and the ballot under which it was proposed. Two records with the same
+// stamp are equal. Epoch 0: a value from the format without ballots, ordered by LegacyStamp.
 struct Stamp {
   std::uint64_t epoch = 0;
   Ballot ballot;
@@ -70,14 +70,14 @@
   return value.version == 0 ? Stamp{} : Stamp{0, {value.version, StableHash(value.text)}};
 }
 
-/// A proposed list of members and the ballot under which an acceptor accepted it.
+// A proposed list of members and the ballot under which an acceptor accepted it.
 struct AcceptedProposal {
   Ballot ballot;
   std::vector<Member> members;
   bool operator==(const AcceptedProposal&) const = default;
 };
 
-/// All that a member has promised and accepted. Synced before any reply that depends on it.
+// All that a member has promised and accepted. Synced before any reply that depends on it.
 struct CoreState {
   Membership membership;  // the newest known; in force here if it contains this incarnation
   Ballot promised;        // for the successor of `membership`
@@ -90,7 +90,7 @@
   bool operator==(const CoreState&) const = default;
 };
 
-/// Epoch 0: epoch 1 starts once all of `members` have accepted this offer.
+// Epoch 0: epoch 1 starts once all of `members` have accepted this offer.
 struct MembershipOffer {
   std::vector<Member> members;
   bool operator==(const MembershipOffer&) const = default;
@@ -101,8 +101,8 @@
   bool operator==(const MembershipOfferReply&) const = default;
 };
 
-/// Installs the epoch of the message header: its voters, and the record that it begins with. Also sent to a
-/// process that is behind, so that it catches up.
+// Installs the epoch of the message header: its voters, and the record that it begins with. Also sent to a
+// process that is behind, so that it catches up.
 struct InstallEpoch {
   std::vector<Member> members;
   std::uint32_t initial_size = 0;
@@ -111,7 +111,7 @@
   bool operator==(const InstallEpoch&) const = default;
 };
 
-/// Asks what the receiver holds; also serves as the ping.
+// Asks what the receiver holds; also serves as the ping.
 struct StatusQuery {
   Stamp committed;  // the newest that the sender knows to be chosen
   bool operator==(const StatusQuery&) const = default;
@@ -124,7 +124,7 @@
   bool operator==(const StatusReply&) const = default;
 };
 
-/// Asks for a whole record, by its stamp.
+// Asks for a whole record, by its stamp.
 struct RecordRequest {
   Stamp stamp;
   bool operator==(const RecordRequest&) const = default;
@@ -136,7 +136,7 @@
   bool operator==(const RecordReply&) const = default;
 };
 
-/// Phase 1 of a register ballot.
+// Phase 1 of a register ballot.
 struct RegisterPrepare {
   Ballot ballot;
   bool operator==(const RegisterPrepare&) const = default;
@@ -147,7 +147,7 @@
   Stamp held;
   bool operator==(const RegisterPromise&) const = default;
 };
-/// Phase 2 of a register ballot: the new record as a change of its base record.
+// Phase 2 of a register ballot: the new record as a change of its base record.
 struct RegisterAccept {
   Ballot ballot;
   Stamp base;                              // the record that is changed
@@ -163,7 +163,7 @@
   bool operator==(const RegisterAccepted&) const = default;
 };
 
-/// Phase 1 of a ballot for the successor of an epoch.
+// Phase 1 of a ballot for the successor of an epoch.
 struct EpochPrepare {
   Ballot ballot;
   bool operator==(const EpochPrepare&) const = default;
@@ -174,7 +174,7 @@
   std::optional<AcceptedProposal> accepted;
   bool operator==(const EpochPromise&) const = default;
 };
-/// Phase 2 of a ballot for the successor of an epoch.
+// Phase 2 of a ballot for the successor of an epoch.
 struct EpochAccept {
   Ballot ballot;
   std::vector<Member> members;
@@ -192,7 +192,7 @@
                  RecordReply, RegisterPrepare, RegisterPromise, RegisterAccept, RegisterAccepted,
                  EpochPrepare, EpochPromise, EpochAccept, EpochAccepted>;
 
-/// A message between two processes of the core.
+// A message between two processes of the core.
 struct CoreMessage {
   Member from;
   std::uint64_t id = 0;  // a reply carries the id of its request
--- a/src/system/founding_host.hpp
+++ b/src/system/founding_host.hpp
@@ -20,17 +20,17 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    /// To be synced beside the core's records; OnWritten() tells the end. False: it can't be begun now.
+    // To be synced beside the core's records; OnWritten() tells the end. False: it can't be begun now.
     virtual bool KeepFounding(std::string state) = 0;
-    /// More than half of the seeds have chosen these members of epoch 1.
+    // More than half of the seeds have chosen these members of epoch 1.
     virtual void OnFounded(std::vector<agreement::Member> members) = 0;
   };
 
-  /// `self`: where the link of this process listens. `durable`: what an acceptor says waits for the disk.
+  // `self`: where the link of this process listens. `durable`: what an acceptor says waits for the disk.
   FoundingHost(Link& link, Owner& owner, const Address& self, agreement::bootstrap::BootstrapState state,
                bool durable, std::size_t least_members, std::uint64_t seed);
 
-  /// What a process keeps that starts together with the whole system.
+  // What a process keeps that starts together with the whole system.
   static agreement::bootstrap::BootstrapState FirstState(const settings::NodeSettings& settings);
 
   void SetCandidate(agreement::Member self);
@@ -38,9 +38,9 @@
   void OnView(const std::vector<agreement::ObservedMachine>& view) { founding_.OnView(Now(), view); }
   void OnBytes(Link::Stream& from, std::string_view bytes);
   void OnWritten(bool ok);
-  /// About every 50 ms.
+  // About every 50 ms.
   void Tick();
-  /// The seeds, while they are to be asked.
+  // The seeds, while they are to be asked.
   void AddTargets(std::vector<Address>& targets) const;
 
  private:
--- a/src/system/redundancy_watch.hpp
+++ b/src/system/redundancy_watch.hpp
@@ -17,11 +17,11 @@
     int before = 0, now = 0;  // further losses that are borne; below 0: no majority is caught up
   };
 
-  /// A number that differs for less than `settle` isn't told: after each change of the configuration some
-  /// voter is behind for a moment.
+  // A number that differs for less than `settle` isn't told: after each change of the configuration some
+  // voter is behind for a moment.
   explicit RedundancyWatch(Duration settle) : settle_(settle) {}
 
-  /// `further_losses`: of the core's status now. To be called several times a `settle`.
+  // `further_losses`: of the core's status now. To be called several times a `settle`.
   std::optional<Change> Look(Time now, int further_losses) {
     if (!told_) {  // the first one is where it begins
       told_ = candidate_ = further_losses;
@@ -37,7 +37,7 @@
     losses_ += change.now < change.before ? 1 : 0;
     return change;
   }
-  /// This machine is no voter any more: what it told doesn't count.
+  // This machine is no voter any more: what it told doesn't count.
   void Reset() { told_.reset(); }
 
   std::optional<int> further_losses() const { return told_; }
